--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use oatlever::balance::Balancer;
 use oatlever::round::{
-    Address, Channel, Entry, Levels, List, ListNews, ProxyQueries, QueryClass, Readiness, Round, Rules, Site,
+    Address, Channel, Entry, Levels, List, ListKind, ProxyQueries, QueryClass, Readiness, Round, Rules, Site,
     Stream, Tries,
 };
 use oatlever_tables::{Kind, News, Pull, Tables};
@@ -84,7 +84,7 @@
             weight: 1.0,
             started: 0.0,
         };
-        List { news: ListNews::Full, entries: (0..self.servers).map(entry).collect() }
+        List { kind: ListKind::Full, entries: (0..self.servers).map(entry).collect() }
     }
 
     /// A second's news: reports of all proxies and servers, and the list once more.
@@ -98,7 +98,7 @@
         }
         for proxy in 0..self.proxies {
             let came = 2.0 * self.chance.f64();
-            let queries = |class| ProxyQueries { proxy, class, came, span: 1.0 };
+            let queries = |class| ProxyQueries { proxy, class, received: came, span: 1.0 };
             round.queries.extend((0..CLASSES as u8).map(queries));
         }
         round
--- a/cost/src/planner.rs
+++ b/cost/src/planner.rs
@@ -124,7 +124,7 @@
         let queries = queries.iter().filter(|one| one.span > 0.0);
         let mut rates: BTreeMap<u16, f64> = BTreeMap::new();
         for one in queries {
-            *rates.entry(one.proxy).or_default() += one.came / one.span;
+            *rates.entry(one.proxy).or_default() += one.received / one.span;
         }
         if !rates.is_empty() {
             let since = self.heard_at.map_or(f64::INFINITY, |at| now - at);
--- a/cost/tests/planner.rs
+++ b/cost/tests/planner.rs
@@ -27,7 +27,7 @@
         let asked = |(zone, came): (usize, &f64)| ProxyQueries {
             proxy: zone as u16,
             class: 0,
-            came: *came,
+            received: *came,
             span: 1.0,
         };
         let queries: Vec<_> = demand.iter().enumerate().map(asked).collect();
--- a/guard/src/evidence.rs
+++ b/guard/src/evidence.rs
@@ -1,7 +1,7 @@
 //! What was seen of servers and askers, gathered from reports and checks.
 
 use crate::state::{Listed, Server, State};
-use oatlever::round::{Address, HealthAnswer, ProxyQueries, Tries};
+use oatlever::round::{Address, HealthCheckResult, ProxyQueries, Tries};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// s; what was proven fades to half in so long: software and neighbours change.
@@ -48,7 +48,13 @@
 
 impl Evidence {
     /// Takes in what a round brought.
-    pub fn hear(&mut self, tries: &[Tries], queries: &[ProxyQueries], health: &[HealthAnswer], now: f64) {
+    pub fn hear(
+        &mut self,
+        tries: &[Tries],
+        queries: &[ProxyQueries],
+        health: &[HealthCheckResult],
+        now: f64,
+    ) {
         let mut met: BTreeMap<Address, (f64, f64, f64, f64)> = BTreeMap::new();
         for one in tries.iter().filter(|one| one.span > 0.0) {
             let (rate, failed, answered, span) = met.entry(one.server).or_default();
@@ -75,12 +81,12 @@
             }
         }
         for answer in health {
-            self.servers.entry(answer.server).or_default().checked = Some((now, answer.fine));
+            self.servers.entry(answer.server).or_default().checked = Some((now, answer.healthy));
         }
         if !queries.is_empty() {
             let mut rates: BTreeMap<u16, BTreeMap<u8, f64>> = BTreeMap::new();
             for one in queries.iter().filter(|one| one.span > 0.0) {
-                *rates.entry(one.proxy).or_default().entry(one.class).or_default() += one.came / one.span;
+                *rates.entry(one.proxy).or_default().entry(one.class).or_default() += one.received / one.span;
             }
             self.rates.extend(rates);
             self.heard_at = Some(now);
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -5,7 +5,7 @@
 use crate::relief::Relief;
 use crate::state::{Figures, State};
 use crate::{parts, Lines, Loads};
-use oatlever::round::{NO_RETRY, ONCE_UNRUN};
+use oatlever::round::{NO_RETRY, RETRY_UNPROCESSED};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -282,7 +282,7 @@
     /// The mode of further tries that may go out for a class: one that must not run twice has none but where
     /// it is proven not to have run.
     pub fn tries(&mut self, table: u16, class: u16, once: bool, tries: u8, now: f64) -> u8 {
-        if !once || tries <= ONCE_UNRUN || self.is_lifted(Check::Twice, now) {
+        if !once || tries <= RETRY_UNPROCESSED || self.is_lifted(Check::Twice, now) {
             return tries;
         }
         let finding = Finding {
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -7,7 +7,7 @@
 use crate::planning::Planning;
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
-use oatlever::round::{Address, HealthAnswer, List, ListNews, Round, Stream};
+use oatlever::round::{Address, HealthCheckResult, List, ListKind, Round, Stream};
 use oatlever_askers::{Prefixes, Presence};
 use oatlever_dns::Desk;
 use oatlever_handout::Answer;
@@ -216,7 +216,7 @@
                     tracing::warn!(%what, "no list of servers");
                 }
                 self.list_trouble = Some(what);
-                self.list("failed", List { news: ListNews::Failed, entries: Vec::new() });
+                self.list("failed", List { kind: ListKind::Failed, entries: Vec::new() });
                 false
             }
             Ok((document, clock)) => {
@@ -232,8 +232,8 @@
                 if changed {
                     tracing::info!(servers = list.entries.len(), before, "list of servers changed");
                 }
-                let kind = match (list.news, list.entries.is_empty()) {
-                    (ListNews::Changes, _) => "in part",
+                let kind = match (list.kind, list.entries.is_empty()) {
+                    (ListKind::Changes, _) => "in part",
                     (_, true) => "empty",
                     _ => "whole",
                 };
@@ -292,7 +292,7 @@
 
     pub fn checked(&mut self, server: Address, fine: bool) {
         self.checking.remove(&server);
-        self.round.health.push(HealthAnswer { server, fine });
+        self.round.health.push(HealthCheckResult { server, healthy: fine });
     }
 
     /// Whether something came in that a round should take up now.
--- a/pilot/src/handing.rs
+++ b/pilot/src/handing.rs
@@ -40,7 +40,7 @@
             self.handout.met(server, host, u16::from(class), (queries, span), since, round.now);
         }
         for one in round.queries.iter().filter(|one| one.span > 0.0) {
-            self.rates.insert((one.proxy, one.class), one.came / one.span);
+            self.rates.insert((one.proxy, one.class), one.received / one.span);
         }
     }
 
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -3,7 +3,7 @@
 
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
-use oatlever::round::{Address, Beliefs, HealthAnswer, List, ListNews, Round, Stream, Tries};
+use oatlever::round::{Address, Beliefs, HealthCheckResult, List, ListKind, Round, Stream, Tries};
 use oatlever_instance::Start;
 use oatlever_platform::message::{self, Join, Message, Wrong, ALIVE};
 use oatlever_platform::{patience, Connection, Joining, Names, Publisher, Role, Sessions};
@@ -195,7 +195,7 @@
             },
             // Usage comes by any collector, or on the proxy's own stream.
             (Message::Queries(queries), role) if role_speaks_for(role, queries.proxy) => {
-                self.counts.queries += queries.came;
+                self.counts.queries += queries.received;
                 self.round.queries.push(queries)
             }
             (Message::Acknowledgement(acknowledgement), Role::Proxy(proxy))
@@ -228,7 +228,7 @@
         }
         self.counts.lists += 1;
         // A watch that ended without news says nothing that a round should take up.
-        if list.news != ListNews::Changes || !list.entries.is_empty() {
+        if list.kind != ListKind::Changes || !list.entries.is_empty() {
             self.round.lists.push(list);
         }
         Ok(())
@@ -237,7 +237,7 @@
     pub fn list_missed(&mut self, is_news: bool) {
         self.counts.lists_missed += 1;
         if is_news {
-            self.round.lists.push(List { news: ListNews::Failed, entries: Vec::new() });
+            self.round.lists.push(List { kind: ListKind::Failed, entries: Vec::new() });
         }
     }
 
@@ -249,7 +249,7 @@
         if self.checking.get(&server) == Some(&process) {
             self.checking.remove(&server);
             if self.register.process(server) == Some(process) {
-                self.round.health.push(HealthAnswer { server, fine });
+                self.round.health.push(HealthCheckResult { server, healthy: fine });
             }
         }
     }
--- a/reports/src/sums.rs
+++ b/reports/src/sums.rs
@@ -175,7 +175,8 @@
                 span: met.span,
             });
         let came = std::mem::take(&mut self.came).into_iter();
-        let came = came.map(|((proxy, class), (came, span))| ProxyQueries { proxy, class, came, span });
+        let came =
+            came.map(|((proxy, class), (came, span))| ProxyQueries { proxy, class, received: came, span });
         (tries.collect(), came.collect())
     }
 }
--- a/reports/tests/reports.rs
+++ b/reports/tests/reports.rs
@@ -31,7 +31,10 @@
     let gain = counters.take(&text(&relay(140, 120, 15.0, 12)), 11.25).unwrap();
     sums.proxy(RELAY, &gain, |server| *server == SERVER);
     let (tries, queries) = sums.flush();
-    assert_eq!((queries[0].proxy, queries[0].class, queries[0].came, queries[0].span), (3, 0, 40.0, 1.25));
+    assert_eq!(
+        (queries[0].proxy, queries[0].class, queries[0].received, queries[0].span),
+        (3, 0, 40.0, 1.25)
+    );
     assert_eq!((tries[0].server, tries[0].zone, tries[0].span), (SERVER, 1, 1.25));
     assert_eq!((tries[0].tries, tries[0].failed), (40.0, 10.0));
     assert!((tries[0].time - 0.2).abs() < 1e-9);
@@ -79,7 +82,7 @@
     let mut sums = sums();
     sums.proxy(RELAY, &Gain { span: 20.0, samples }, |_| true);
     let (tries, queries) = sums.flush();
-    assert_eq!((queries[0].came, queries[0].span), (10.0, 1.0));
+    assert_eq!((queries[0].received, queries[0].span), (10.0, 1.0));
     assert_eq!((tries[0].failed, tries[0].span), (5.0, 1.0));
 }
 
@@ -104,7 +107,7 @@
     });
     let (tries, queries) = sums.flush();
     assert_eq!(queries.len(), 1);
-    assert_eq!((queries[0].proxy, queries[0].class, queries[0].came), (7, 1, 6.0));
+    assert_eq!((queries[0].proxy, queries[0].class, queries[0].received), (7, 1, 6.0));
     assert_eq!((tries.len(), tries[0].tries, tries[0].time), (1, 6.0, 0.25));
 }
 
--- a/roster/src/book.rs
+++ b/roster/src/book.rs
@@ -5,7 +5,7 @@
 //! label stays the same.
 
 use crate::document::{Document, Listed, Readable};
-use oatlever::round::{Address, Entry, List, ListNews, Readiness};
+use oatlever::round::{Address, Entry, List, ListKind, Readiness};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -123,9 +123,9 @@
             let oldest = self.dropped.iter().min_by(|a, b| a.1.seen.total_cmp(&b.1.seen)).map(|(s, _)| *s);
             oldest.map(|server| self.dropped.remove(&server));
         }
-        let news = if document.readable == Readable::InPart { ListNews::Changes } else { ListNews::Full };
+        let kind = if document.readable == Readable::InPart { ListKind::Changes } else { ListKind::Full };
         changed |= self.members.len() != with_new || with_new != before;
-        Taken { list: List { news, entries: self.entries() }, changed }
+        Taken { list: List { kind, entries: self.entries() }, changed }
     }
 
     /// A start that was told for the first time is placed by its age; one that changed lies between the
@@ -223,6 +223,6 @@
             members.insert(Address { host: host.ip().octets(), port: host.port() }, member);
         }
         self.members = members;
-        Ok(List { news: ListNews::Cached, entries: self.entries() })
+        Ok(List { kind: ListKind::Cached, entries: self.entries() })
     }
 }
--- a/roster/src/platform.rs
+++ b/roster/src/platform.rs
@@ -3,7 +3,7 @@
 //! Servers have names there that stay the same for all pilots, and an address that is this pilot's alone.
 //! The decisions know servers by short numbers in the form of an address, which [`Register`] gives out.
 
-use oatlever::round::{Address, Entry, List, ListNews, Readiness};
+use oatlever::round::{Address, Entry, List, ListKind, Readiness};
 use oatlever_fetch::{self as fetch, Alone};
 use serde::Deserialize;
 use serde_json::Value;
@@ -196,12 +196,12 @@
             forgotten.map(|known| self.numbers.remove(&known.name));
         }
         self.version = Some(document.version);
-        let news = match (whole, origin) {
-            (true, Origin::Cached) => ListNews::Cached,
-            (true, _) => ListNews::Full,
-            (false, _) => ListNews::Changes,
+        let kind = match (whole, origin) {
+            (true, Origin::Cached) => ListKind::Cached,
+            (true, _) => ListKind::Full,
+            (false, _) => ListKind::Changes,
         };
-        Ok(List { news, entries })
+        Ok(List { kind, entries })
     }
 
     /// Whether a document has an older version than what is held.
--- a/roster/tests/platform.rs
+++ b/roster/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's list: what its documents mean, and names that stay.
 
-use oatlever::round::{ListNews, Readiness};
+use oatlever::round::{ListKind, Readiness};
 use oatlever_roster::platform::{Origin, PlatformDocument, Register};
 use serde_json::{json, Value};
 
@@ -20,11 +20,11 @@
     let first = register
         .take(&document(41, true, json!([server("s-1", "up"), server("s-2", "up")])), Origin::Cached)
         .unwrap();
-    assert_eq!(first.news, ListNews::Cached);
+    assert_eq!(first.kind, ListKind::Cached);
     assert_eq!((first.entries[0].started, first.entries[0].readiness), (1.5, Readiness::Ready));
     let change =
         register.take(&document(43, false, json!([server("s-2", "draining")])), Origin::Told).unwrap();
-    assert_eq!((change.news, change.entries[0].readiness), (ListNews::Changes, Readiness::Draining));
+    assert_eq!((change.kind, change.entries[0].readiness), (ListKind::Changes, Readiness::Draining));
     assert_eq!(change.entries[0].server, first.entries[1].server);
     assert_eq!(register.version, Some(43));
     assert_eq!(register.number("s-1"), Some(first.entries[0].server));
@@ -43,7 +43,7 @@
     assert!(odd.mistakes[0].starts_with("/servers/1: state is \"asleep\""), "{:?}", odd.mistakes);
     let list = register.take(&odd, Origin::Told).unwrap();
     let told: Vec<_> = list.entries.iter().map(|e| (register.name(e.server).unwrap(), e.readiness)).collect();
-    assert_eq!(list.news, ListNews::Full);
+    assert_eq!(list.kind, ListKind::Full);
     assert_eq!(told, [("s-2".into(), Readiness::Draining), ("s-1".into(), Readiness::Ready)]);
     assert_eq!((register.version, register.sizes()), (Some(42), (2, 1)));
     // Where nothing at all can be used, nothing is gone.
@@ -70,7 +70,7 @@
     let told: Vec<_> = list.entries.iter().map(|e| e.readiness).collect();
     let (ready, draining, gone) = (Readiness::Ready, Readiness::Draining, Readiness::Gone);
     assert_eq!(told, [ready, draining, gone, ready, ready]);
-    assert_eq!((list.news, register.version), (ListNews::Full, Some(2)));
+    assert_eq!((list.kind, register.version), (ListKind::Full, Some(2)));
     // What it says after that is news.
     let list = register.take(&document(3, false, json!([server("s-2", "up")])), Origin::Told).unwrap();
     assert_eq!(list.entries[0].readiness, ready);
@@ -103,5 +103,5 @@
     }
     assert_eq!((register.version, register.number("s-2")), (Some(43), None));
     let same = register.take(&document(43, true, json!([server("s-1", "draining")])), Origin::Told);
-    assert_eq!(same.unwrap().news, ListNews::Full);
+    assert_eq!(same.unwrap().kind, ListKind::Full);
 }
--- a/roster/tests/roster.rs
+++ b/roster/tests/roster.rs
@@ -1,4 +1,4 @@
-use oatlever::round::{Address, ListNews, Readiness};
+use oatlever::round::{Address, ListKind, Readiness};
 use oatlever_roster::{Book, Document, Moment, Readable, Taken};
 
 fn zones() -> Vec<String> {
@@ -54,16 +54,16 @@
     assert!(bad_label.mistakes[0].contains("10.0.0.2:7000"), "{:?}", bad_label.mistakes);
     assert!(bad_label.mistakes[0].contains("weight"), "{:?}", bad_label.mistakes);
     let taken = book.take(&bad_label, 2.0, None);
-    assert_eq!((taken.list.news, taken.list.entries.len()), (ListNews::Full, 2));
+    assert_eq!((taken.list.kind, taken.list.entries.len()), (ListKind::Full, 2));
     let bad_target = r#"{"targets": ["kiosk:http"], "labels": {"zone": "north"}}"#.to_string();
     let taken = book.take(&read(&[group(1, ""), bad_target]), 3.0, None);
-    assert_eq!((taken.list.news, taken.list.entries.len()), (ListNews::Changes, 2));
+    assert_eq!((taken.list.kind, taken.list.entries.len()), (ListKind::Changes, 2));
     // Listed twice, differently: which one is true is not known.
     let twice = read(&[group(1, ""), group(1, r#", "state": "draining""#)]);
     assert_eq!(twice.readable, Readable::ButFor([server(1)].into()));
     // An empty list is an empty list.
     let empty = book.take(&read(&[]), 4.0, None);
-    assert_eq!((empty.list.news, empty.list.entries.len(), empty.changed), (ListNews::Full, 0, true));
+    assert_eq!((empty.list.kind, empty.list.entries.len(), empty.changed), (ListKind::Full, 0, true));
 }
 
 /// A server that a list drops may serve on: what is reported of it must find it known, or the decisions
@@ -114,7 +114,7 @@
     {
         let mut next = Book::default();
         let list = next.restore(&text, 2, 500.0, now.clone()).unwrap();
-        assert_eq!(list.news, ListNews::Cached);
+        assert_eq!(list.kind, ListKind::Cached);
         assert_eq!(list.entries[0].started, start, "{now:?}");
         assert_eq!((list.entries[1].readiness, list.entries[1].started), (Readiness::Draining, 0.0));
         // The first list of the new life says the same start: it is no restart.
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -7,8 +7,8 @@
 
 use crate::chance::Chance;
 use crate::round::{
-    Address, Beliefs, Channel, Levels, List, ListNews, Plan, QueryClass, Readiness, Round, Rules, Site,
-    Tries, Writer, MARK_LINES, NO_LIMIT, NO_RETRY, ONCE_UNRUN,
+    Address, Beliefs, Channel, Levels, List, ListKind, Plan, QueryClass, Readiness, Round, Rules, Site,
+    Tries, Writer, MARK_LINES, NO_LIMIT, NO_RETRY, RETRY_UNPROCESSED,
 };
 use crate::state::{
     Admission, Change, ColdBudget, Level, Proxy, Queue, Server, Table, TableChanges, Times, WantedTable,
@@ -119,7 +119,7 @@
     servers: BTreeMap<Address, Server>,
     proxies: BTreeMap<u16, Proxy>,
     tables: Vec<Table>,
-    /// The servers of each slice in this pilot's charge, and when one was last shut out.
+    /// The servers of each slice assigned to this pilot, and when one was last shut out.
     slices: BTreeMap<u16, (Vec<Address>, f64)>,
     /// How much each zone's crowding lets its servers count.
     crowding: Vec<f64>,
@@ -239,7 +239,7 @@
             }
         }
         self.read_tries(&round.tries, now);
-        for answer in round.health.iter().filter(|answer| answer.fine) {
+        for answer in round.health.iter().filter(|answer| answer.healthy) {
             if let Some(server) = self.servers.get_mut(&answer.server) {
                 server.answered_at = now;
             }
@@ -325,7 +325,7 @@
         // Where lists are known to err, a server that answers is not given up for being dropped.
         let err = self.rules.gone_does_not_bind;
         let doubted = |s: &Server| err && now - s.answered_at < SILENT_SPAN;
-        if matches!(list.news, ListNews::Full | ListNews::Cached) {
+        if matches!(list.kind, ListKind::Full | ListKind::Cached) {
             for (address, server) in &mut self.servers {
                 if !doubted(server) && !list.entries.iter().any(|e| e.server == *address) {
                     server.readiness = Readiness::Gone;
@@ -419,12 +419,12 @@
     /// time pass without an answer.
     fn follow_list(&mut self, lists: &[List], now: f64, out: &mut dyn Writer) {
         for list in lists {
-            match list.news {
-                ListNews::Failed => {
+            match list.kind {
+                ListKind::Failed => {
                     self.times.asked_at = None;
                     self.times.ask_at = now + BEAT * (1.0 + self.chance.part());
                 }
-                ListNews::Cached => {}
+                ListKind::Cached => {}
                 _ => self.times.ask_at = f64::INFINITY,
             }
         }
@@ -750,7 +750,7 @@
         // A second try helps against a few bad servers and feeds a jam; the first reports, of what was
         // answered soonest, do not tell the two apart.
         let retry =
-            if self.is_settled(now) && self.admission.pressure < LATE { ONCE_UNRUN } else { NO_RETRY };
+            if self.is_settled(now) && self.admission.pressure < LATE { RETRY_UNPROCESSED } else { NO_RETRY };
         // Little that may be let in is not rounded to nothing: below one step, it goes by halves of it.
         let step = |level: f64| match level / LEVEL_STEP {
             steps if steps > 0.0 && steps < 1.0 => LEVEL_STEP * steps.log2().floor().exp2(),
@@ -791,11 +791,11 @@
     /// Slices get the least that is legal: one whose server drains, is gone or was never named gets the
     /// ready server with the fewest. A sole owner is shut out first, and its writes are let end.
     fn keep_slices(&mut self, round: &Round, now: f64, out: &mut dyn Writer) {
-        for charge in &round.charges {
-            self.slices.remove(&charge.slice);
-            if charge.given {
-                let lines = charge.lines.iter().map(|line| line.0).collect();
-                self.slices.insert(charge.slice, (lines, f64::NEG_INFINITY));
+        for assignment in &round.slice_assignments {
+            self.slices.remove(&assignment.slice);
+            if assignment.assigned {
+                let lines = assignment.weights.iter().map(|line| line.0).collect();
+                self.slices.insert(assignment.slice, (lines, f64::NEG_INFINITY));
             }
         }
         let named: Vec<Address> = self.slices.values().flat_map(|(lines, _)| lines).copied().collect();
--- a/src/round.rs
+++ b/src/round.rs
@@ -94,7 +94,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListNews {
+pub enum ListKind {
     Changes,
     Full,
     Cached,
@@ -103,7 +103,7 @@
 
 #[derive(Clone, Debug)]
 pub struct List {
-    pub news: ListNews,
+    pub kind: ListKind,
     pub entries: Vec<Entry>,
 }
 
@@ -122,7 +122,7 @@
 pub struct ProxyQueries {
     pub proxy: u16,
     pub class: u8,
-    pub came: f64,
+    pub received: f64,
     pub span: f64,
 }
 
@@ -139,9 +139,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct HealthAnswer {
+pub struct HealthCheckResult {
     pub server: Address,
-    pub fine: bool,
+    pub healthy: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -152,17 +152,17 @@
 
 /// The store places a slice in this pilot's charge, or takes it away.
 #[derive(Clone, Debug)]
-pub struct Charge {
+pub struct SliceAssignment {
     pub slice: u16,
-    pub given: bool,
+    pub assigned: bool,
     /// The slice's table as the store holds it.
-    pub lines: Vec<(Address, f64)>,
+    pub weights: Vec<(Address, f64)>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct PeerMessage {
     pub from: u16,
-    pub text: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// Where queries should go by what servers cost.
@@ -182,10 +182,10 @@
     pub streams: Vec<Stream>,
     pub queries: Vec<ProxyQueries>,
     pub tries: Vec<Tries>,
-    pub health: Vec<HealthAnswer>,
+    pub health: Vec<HealthCheckResult>,
     pub acknowledgements: Vec<Acknowledgement>,
-    pub charges: Vec<Charge>,
-    pub letters: Vec<Letter>,
+    pub slice_assignments: Vec<SliceAssignment>,
+    pub peer_messages: Vec<PeerMessage>,
     pub timers: Vec<u64>,
     /// Where servers have prices: the plan that holds from now on; one without parts ends it.
     pub plan: Option<Plan>,
@@ -207,7 +207,7 @@
 
 /// Modes of a further try. One after any failure could run an effect twice; it has no name here.
 pub const NO_RETRY: u8 = 0;
-pub const ONCE_UNRUN: u8 = 1;
+pub const RETRY_UNPROCESSED: u8 = 1;
 /// Where levels are queries a second: more than any proxy gets.
 pub const NO_LIMIT: f64 = 1e6;
 /// What a mark adds to each message, in lines.
@@ -217,7 +217,7 @@
 pub const ALL_TABLES: u16 = u16::MAX;
 
 /// Of so many classes, those that a sum of 2^place names; 0 names all.
-pub fn named_classes(sum: u16, count: usize) -> impl Iterator<Item = u16> + Clone {
+pub fn classes_in_mask(sum: u16, count: usize) -> impl Iterator<Item = u16> + Clone {
     (0..count as u16).filter(move |class| sum == 0 || sum & (1 << class) != 0)
 }
 
@@ -242,7 +242,7 @@
     fn clear(&mut self, table: u16);
     fn bind(&mut self, proxy: u16, table: u16);
     fn withdraw(&mut self, server: Address, out: bool);
-    /// `classes` is as for [`named_classes`], `table` may be [`ALL_TABLES`]; `tries` is a mode of a further
+    /// `classes` is as for [`classes_in_mask`], `table` may be [`ALL_TABLES`]; `tries` is a mode of a further
     /// try.
     fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8);
     fn check_health(&mut self, server: Address);
--- a/src/state.rs
+++ b/src/state.rs
@@ -106,7 +106,7 @@
         self.came.resize(classes, Fading::over(span));
         self.since.get_or_insert(now - queries.span);
         if let Some(came) = self.came.get_mut(usize::from(queries.class)) {
-            came.add(now, queries.came);
+            came.add(now, queries.received);
         }
     }
 
--- a/tables/src/lib.rs
+++ b/tables/src/lib.rs
@@ -16,7 +16,7 @@
 pub use pull::{Kind, Pull};
 pub use versions::{frozen, Kept, Lines, Refusal, Versions};
 
-use oatlever::round::{named_classes, Acknowledgement, Actions, Address, Writer, ALL_TABLES};
+use oatlever::round::{classes_in_mask, Acknowledgement, Actions, Address, Writer, ALL_TABLES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
@@ -414,7 +414,7 @@
     }
 
     fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
-        let named = named_classes(classes, self.classes);
+        let named = classes_in_mask(classes, self.classes);
         let last = self.tables.len().saturating_sub(1) as u16;
         for number in if table == ALL_TABLES { 0..=last } else { table..=table } {
             let held = self.table(number);
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -39,7 +39,7 @@
 
 /// Usage of every proxy over the last second, with no attempt anywhere.
 fn usage(now: f64, proxies: u16) -> Round {
-    let queries = (0..proxies).map(|proxy| ProxyQueries { proxy, class: 0, came: RATE, span: 1.0 });
+    let queries = (0..proxies).map(|proxy| ProxyQueries { proxy, class: 0, received: RATE, span: 1.0 });
     Round { queries: queries.collect(), ..at(now) }
 }
 
@@ -210,7 +210,7 @@
         let mut round = usage(now, PROXIES);
         round.tries = vec![tries(0, 0, 0.1, 0.0, 0.2)];
         if second == 3 {
-            round.lists = vec![list(ListNews::Changes, cold(60))];
+            round.lists = vec![list(ListKind::Changes, cold(60))];
         }
         play.round(&round);
         play.round(&at(now + 0.2));
@@ -225,8 +225,11 @@
 fn slices_among_cold_servers_alone_go_to_those_that_carry_them() {
     let slices: u16 = 96;
     let mut play = Play::new(Site { slices: usize::from(slices), ..site() }, rules(), channel(0));
-    let charge = |slice| Charge { slice, given: true, lines: vec![] };
-    play.round(&Round { charges: (0..slices).map(charge).collect(), ..open(START, cold(SERVERS), fleet()) });
+    let assignment = |slice| SliceAssignment { slice, assigned: true, weights: vec![] };
+    play.round(&Round {
+        slice_assignments: (0..slices).map(assignment).collect(),
+        ..open(START, cold(SERVERS), fleet())
+    });
     let placed = |play: &Play| (0..slices).filter(|slice| !play.book.table(*slice).is_empty()).count() as u16;
     let mut now = START;
     while now < START + 0.7 * rules().warm_within {
--- a/tests/joins.rs
+++ b/tests/joins.rs
@@ -24,7 +24,7 @@
 
 /// Reports of one second: each server answers in the same time, but for some.
 fn report(now: f64, time: impl Fn(u16) -> f64) -> Round {
-    let queries = (0..PROXIES).map(|proxy| ProxyQueries { proxy, class: 0, came: 10.0, span: 1.0 });
+    let queries = (0..PROXIES).map(|proxy| ProxyQueries { proxy, class: 0, received: 10.0, span: 1.0 });
     let each = 10.0 * f64::from(PROXIES) / f64::from(SERVERS);
     Round {
         queries: queries.collect(),
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -53,7 +53,7 @@
             let mut round = at(now);
             round.plan = plan.clone().filter(|_| second == 0);
             for proxy in 0..2 {
-                round.queries.push(ProxyQueries { proxy, class: 0, came: 30.0, span: 1.0 });
+                round.queries.push(ProxyQueries { proxy, class: 0, received: 30.0, span: 1.0 });
             }
             round.tries = (0..6).map(|n| tries(n, n % 2, 10.0, 0.0, 0.2)).collect();
             play.round(&round);
@@ -86,7 +86,7 @@
     for second in 1..=seconds {
         let mut round = at(100.0 + f64::from(second));
         for proxy in 0..2 {
-            round.queries.push(ProxyQueries { proxy, class: 0, came: 30.0, span: 1.0 });
+            round.queries.push(ProxyQueries { proxy, class: 0, received: 30.0, span: 1.0 });
         }
         round.tries = (0..6).map(|n| report(second, n, n % 2)).collect();
         round.tries.retain(|t| t.tries > 0.0);
@@ -155,12 +155,12 @@
     for second in 1..=24 {
         // Its proxy has had hardly any queries, so all of them would fit into its own zone.
         let mut round = at(100.0 + f64::from(second));
-        let query = |proxy, came| ProxyQueries { proxy, class: 0, came, span: 1.0 };
+        let query = |proxy, came| ProxyQueries { proxy, class: 0, received: came, span: 1.0 };
         round.queries = vec![query(0, 0.1), query(1, 30.0), query(2, 30.0)];
         round.tries = [1, 3, 5].iter().map(|n| tries(*n, 1, 20.0, 0.0, 0.2)).collect();
         if second == 22 {
             let back = [0, 2, 4].iter().map(|n| entry(*n, 0, Readiness::Ready, 121.5)).collect();
-            round.lists = vec![list(ListNews::Changes, back)];
+            round.lists = vec![list(ListKind::Changes, back)];
         }
         play.round(&round);
         let own: f64 = [0, 2, 4].iter().map(|n| play.book.part(0, *n)).sum();
@@ -179,7 +179,7 @@
     play.round(&round);
     let mut round = at(2.5);
     let gone = [1, 2].iter().map(|n| entry(*n, 0, Readiness::Gone, 0.0)).collect();
-    round.lists = vec![list(ListNews::Changes, gone)];
+    round.lists = vec![list(ListKind::Changes, gone)];
     play.round(&round);
     assert!(play.book.part(0, 1) > 0.0 && play.book.part(0, 2) == 0.0, "{:?}", play.book.tables);
 }
@@ -191,8 +191,9 @@
         let mut play = Play::new(site, rules(), channel(0));
         let mut round = at(50.0);
         let listed = vec![entry(1, 0, Readiness::Ready, 0.0), entry(2, 0, Readiness::Ready, 49.0)];
-        round.lists = vec![list(ListNews::Full, [listed, vec![entry(3, 1, Readiness::Ready, 0.0)]].concat())];
-        round.charges = vec![Charge { slice: 1, given: true, lines: vec![(address(1), 1.0)] }];
+        round.lists = vec![list(ListKind::Full, [listed, vec![entry(3, 1, Readiness::Ready, 0.0)]].concat())];
+        round.slice_assignments =
+            vec![SliceAssignment { slice: 1, assigned: true, weights: vec![(address(1), 1.0)] }];
         round.streams = vec![join(0, 0)];
         play.book.tables.entry(1).or_default().insert(address(1), 1.0);
         play.round(&round);
@@ -212,7 +213,7 @@
     play.round(&at(10.0));
     assert_eq!(play.book.asked, 1);
     let mut round = at(11.0);
-    round.lists = vec![list(ListNews::Failed, vec![])];
+    round.lists = vec![list(ListKind::Failed, vec![])];
     play.round(&round);
     play.round(&at(11.6));
     assert_eq!(play.book.asked, 2, "after a failure");
@@ -243,14 +244,14 @@
     for second in 1..=10 {
         let mut round = at(100.0 + f64::from(second));
         if second == 1 {
-            round.lists = vec![list(ListNews::Changes, vec![entry(4, 0, Readiness::Ready, 90.0)])];
+            round.lists = vec![list(ListKind::Changes, vec![entry(4, 0, Readiness::Ready, 90.0)])];
         }
         round.tries = (0..3).map(|n| tries(n, 0, 10.0, 0.0, 0.2)).collect();
         if second > 7 {
             round.tries.push(tries(4, 0, 5.0, 5.0, 0.0));
         }
         for server in std::mem::take(&mut play.book.checked) {
-            round.health.push(HealthAnswer { server, fine: true });
+            round.health.push(HealthCheckResult { server, healthy: true });
         }
         play.round(&round);
         assert!(second != 7 || play.book.part(0, 4) > 0.1, "{:?}", play.book.tables);
@@ -329,11 +330,11 @@
     for second in 1..=3 {
         let mut round = at(100.0 + f64::from(second));
         if second == 1 {
-            round.lists = vec![list(ListNews::Changes, vec![entry(4, 0, Readiness::Ready, 100.5)])];
+            round.lists = vec![list(ListKind::Changes, vec![entry(4, 0, Readiness::Ready, 100.5)])];
         }
         round.tries = (0..3).map(|n| tries(n, 0, 10.0, 0.0, 0.2)).collect();
         for server in std::mem::take(&mut play.book.checked) {
-            round.health.push(HealthAnswer { server, fine: true });
+            round.health.push(HealthCheckResult { server, healthy: true });
         }
         play.round(&round);
     }
@@ -343,7 +344,7 @@
 /// So many queries of each proxy, six servers that each answer 10 a second in `time`.
 fn second(now: f64, proxies: u16, came: f64, time: f64) -> Round {
     let mut round = at(now);
-    let query = |proxy| ProxyQueries { proxy, class: 0, came, span: 1.0 };
+    let query = |proxy| ProxyQueries { proxy, class: 0, received: came, span: 1.0 };
     round.queries = (0..proxies).map(query).collect();
     round.tries = (0..6).map(|n| tries(n, n % 2, 10.0, 0.0, time)).collect();
     round
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -116,7 +116,7 @@
         Step::Reports { bad, how } => {
             for proxy in world.joined.keys() {
                 for class in 0..2 {
-                    let query = ProxyQueries { proxy: *proxy, class, came: 9.0, span: 1.0 };
+                    let query = ProxyQueries { proxy: *proxy, class, received: 9.0, span: 1.0 };
                     round.queries.push(query);
                 }
             }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -99,7 +99,7 @@
             }
             _ => {
                 for proxy in joined.keys() {
-                    let query = |class| ProxyQueries { proxy: *proxy, class, came: 9.0, span: 1.0 };
+                    let query = |class| ProxyQueries { proxy: *proxy, class, received: 9.0, span: 1.0 };
                     round.queries.extend((0..count).map(query));
                 }
                 for server in 0..SERVERS {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -16,8 +16,8 @@
     Entry { server: address(n), zone, kind: (n % 2) as u8, readiness, weight: 2.0, started }
 }
 
-pub fn list(news: ListNews, entries: Vec<Entry>) -> List {
-    List { news, entries }
+pub fn list(kind: ListKind, entries: Vec<Entry>) -> List {
+    List { kind, entries }
 }
 
 pub fn site() -> Site {
@@ -96,11 +96,11 @@
 
 /// The first round: the whole list, and the proxies that join.
 pub fn open(now: f64, entries: Vec<Entry>, streams: Vec<Stream>) -> Round {
-    Round { lists: vec![list(ListNews::Full, entries)], streams, ..at(now) }
+    Round { lists: vec![list(ListKind::Full, entries)], streams, ..at(now) }
 }
 
 pub fn change(now: f64, entries: Vec<Entry>) -> Round {
-    Round { lists: vec![list(ListNews::Changes, entries)], ..at(now) }
+    Round { lists: vec![list(ListKind::Changes, entries)], ..at(now) }
 }
 
 pub fn join(proxy: u16, zone: u16) -> Stream {
--- a/wirehost/src/host.rs
+++ b/wirehost/src/host.rs
@@ -5,8 +5,8 @@
 use crate::{malformed, Malformed};
 use oatlever::balance::Balancer;
 use oatlever::round::{
-    Acknowledgement, Charge, Entry, HealthAnswer, Letter, List, ListNews, ProxyQueries, Readiness, Round,
-    Stream, Tries,
+    Acknowledgement, Entry, HealthCheckResult, List, ListKind, PeerMessage, ProxyQueries, Readiness, Round,
+    SliceAssignment, Stream, Tries,
 };
 use std::collections::BTreeMap;
 
@@ -90,11 +90,11 @@
         let round = &mut seat.round;
         match code {
             256 => round.lists.push(List {
-                news: match at.u8(4) {
-                    0 => ListNews::Changes,
-                    1 => ListNews::Full,
-                    2 => ListNews::Cached,
-                    3 => ListNews::Failed,
+                kind: match at.u8(4) {
+                    0 => ListKind::Changes,
+                    1 => ListKind::Full,
+                    2 => ListKind::Cached,
+                    3 => ListKind::Failed,
                     n => return malformed(format!("a list of unknown kind {n}")),
                 },
                 entries: entries(batch.tail(at, 13, ENTRY)?)?,
@@ -103,18 +103,24 @@
             258 => round.streams.push(Stream { proxy: at.u16(4), up: false, zone: 0, rate: 0.0 }),
             259 => {
                 let slice = at.u16(14);
-                let charge = round.charges.iter_mut().rev().find(|c| c.slice == slice);
-                if let Some(charge) = charge {
-                    charge.lines.push((at.address(4), at.f32(10)));
+                let assignment = round.slice_assignments.iter_mut().rev().find(|c| c.slice == slice);
+                if let Some(assignment) = assignment {
+                    assignment.weights.push((at.address(4), at.f32(10)));
                 }
             }
             260 => {
                 round.streams.push(Stream { proxy: at.u16(11), up: true, zone: at.u16(8), rate: at.f32(4) })
             }
-            262 => round.charges.push(Charge { slice: at.u16(4), given: at.u8(6) != 0, lines: Vec::new() }),
+            262 => round.slice_assignments.push(SliceAssignment {
+                slice: at.u16(4),
+                assigned: at.u8(6) != 0,
+                weights: Vec::new(),
+            }),
             // The load of slices: counted by nothing yet.
             263 => {}
-            264 => round.letters.push(Letter { from: at.u16(4), text: batch.tail(at, 6, 1)?.to_vec() }),
+            264 => round
+                .peer_messages
+                .push(PeerMessage { from: at.u16(4), payload: batch.tail(at, 6, 1)?.to_vec() }),
             265 => {
                 seat.balancer = None;
                 seat.round = Round::default();
@@ -133,12 +139,12 @@
             267 => round.queries.push(ProxyQueries {
                 proxy: at.u16(4),
                 class: at.u8(6),
-                came: f64::from(at.u32(7)),
+                received: f64::from(at.u32(7)),
                 span: at.f64(15) / 1000.0,
             }),
             268 => {
                 at.check_load(20)?;
-                round.health.push(HealthAnswer { server: at.address(14), fine: at.u16(12) == 100 });
+                round.health.push(HealthCheckResult { server: at.address(14), healthy: at.u16(12) == 100 });
             }
             269 => round.acknowledgements.push(Acknowledgement { proxy: at.u16(4), number: at.u64(6) }),
             _ => return malformed(format!("an event of unknown code {code}")),
--- a/xds/src/resources.rs
+++ b/xds/src/resources.rs
@@ -3,7 +3,7 @@
 //! All four kinds of a class go by the class's name, so that a client finds its way from the listener alone.
 
 use crate::session::Kind;
-use oatlever::round::{Address, ONCE_UNRUN};
+use oatlever::round::{Address, RETRY_UNPROCESSED};
 use oatlever_tables::View;
 use prost::Message;
 use std::collections::{BTreeMap, HashMap};
@@ -75,7 +75,7 @@
     /// The mode of further tries that is published: none at all for a class that must not run twice.
     fn tries(&self, class: u16, view: Option<&View>) -> u8 {
         let once = self.classes[usize::from(class)].once;
-        view.map_or(0, |view| view.tries).min(if once { 0 } else { ONCE_UNRUN })
+        view.map_or(0, |view| view.tries).min(if once { 0 } else { RETRY_UNPROCESSED })
     }
 
     /// The resource itself, written once for each version.
@@ -160,7 +160,7 @@
 fn routes_of(class: &Class, tries: u8) -> route::RouteConfiguration {
     use route::route_action::ClusterSpecifier;
     use route::route_match::PathSpecifier;
-    let retry = (tries == ONCE_UNRUN).then(|| route::RetryPolicy {
+    let retry = (tries == RETRY_UNPROCESSED).then(|| route::RetryPolicy {
         retry_on: NEVER_RAN.to_string(),
         num_retries: Some(UInt32Value { value: 1 }),
         ..Default::default()
