--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -11,7 +11,7 @@
 use oatlever_askers::{Prefixes, Presence};
 use oatlever_dns::Desk;
 use oatlever_handout::Answer;
-use oatlever_reports::{Counters, Owner, Sums, Target, Text};
+use oatlever_reports::{Aggregator, AskerInfo, Counters, Exposition, Target};
 use oatlever_roster::{Book, Document, Moment, Taken};
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{Kind, News, Pull, Review, Tables, Unreviewed, View};
@@ -49,9 +49,9 @@
     pub handing: Handing,
     pub presence: Presence,
     pub book: Book,
-    pub sums: Sums,
+    pub sums: Aggregator,
     counters: BTreeMap<Target, Counters>,
-    owners: Vec<Owner>,
+    owners: Vec<AskerInfo>,
     pub prefixes: Rc<Prefixes>,
     round: Round,
     timers: Timers,
@@ -79,12 +79,12 @@
 impl Core {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let now = checks::CLOCK_START;
-        let owner = |(place, asker): (usize, &oatlever_settings::Asker)| Owner {
+        let owner = |(place, asker): (usize, &oatlever_settings::Asker)| AskerInfo {
             asker: place as u16,
             zone: settings.zone(&asker.zone).unwrap_or(0),
-            counted: asker.metrics.is_some(),
+            has_counters: asker.metrics.is_some(),
         };
-        let owners: Vec<Owner> = settings.askers.iter().enumerate().map(owner).collect();
+        let owners: Vec<AskerInfo> = settings.askers.iter().enumerate().map(owner).collect();
         let host = |text: &String| text.ends_with("/32");
         let kind = |asker: &oatlever_settings::Asker| match asker {
             a if a.node.is_some() => Kind::Stream,
@@ -93,7 +93,7 @@
         };
         let kinds: Vec<Kind> = settings.askers.iter().map(kind).collect();
         // Of groups without counters of their own, some may always hold an answer.
-        let lasting = owners.iter().zip(&kinds).map(|(o, kind)| !o.counted && *kind != Kind::Stream);
+        let lasting = owners.iter().zip(&kinds).map(|(o, kind)| !o.has_counters && *kind != Kind::Stream);
         let groups: Vec<bool> = lasting.collect();
         let classes = settings.classes.len();
         let pull = Pull::new(&kinds, classes, settings.longest_hold(), now);
@@ -113,7 +113,7 @@
             handing: Handing::new(&settings, seed, now),
             presence: Presence::new(&groups, settings.status.away_after),
             book: Book::default(),
-            sums: Sums::new(settings.reports.period, names),
+            sums: Aggregator::new(settings.reports.period, names),
             counters: BTreeMap::new(),
             owners,
             prefixes: Rc::new(prefixes(&settings)),
@@ -185,11 +185,11 @@
     pub fn load(&mut self, asker: u16, loads: Vec<Load>) {
         let owner = self.owners[usize::from(asker)];
         for load in loads {
-            self.sums.stated(owner, &load.cluster, load.came, load.span);
+            self.sums.add_reported_queries(owner, &load.cluster, load.came, load.span);
             for met in load.servers {
                 if self.book.known(&met.server).is_some() {
                     let figures = (met.answered, met.failed, met.seconds);
-                    self.sums.stated_at(owner, met.server, figures, load.span);
+                    self.sums.add_reported_tries(owner, met.server, figures, load.span);
                 }
             }
         }
@@ -245,7 +245,7 @@
     }
 
     /// A reading of a target's counters, asked for at a moment.
-    pub fn reading(&mut self, target: Target, asked: Instant, text: Result<Text, String>) {
+    pub fn reading(&mut self, target: Target, asked: Instant, text: Result<Exposition, String>) {
         let at = self.clock(asked);
         let text = match text {
             Ok(text) => text,
@@ -265,19 +265,20 @@
                 self.sums.in_flight.insert(server, sample.value);
             }
         }
-        let Some(gain) = self.counters.entry(target).or_default().take(&text, at) else {
+        let Some(gain) = self.counters.entry(target).or_default().update(&text, at) else {
             self.counts.readings_anew += 1;
             return;
         };
         match target {
             Target::Asker(asker) => {
                 let book = &self.book;
-                self.sums.proxy(self.owners[usize::from(asker)], &gain, |s| book.known(s).is_some());
+                self.sums
+                    .add_proxy_counters(self.owners[usize::from(asker)], &gain, |s| book.known(s).is_some());
             }
             Target::Server(server) => {
                 let (owners, prefixes) = (&self.owners, &self.prefixes);
                 let owner = |host| prefixes.find(host).0.map(|asker| owners[usize::from(asker)]);
-                self.sums.server(server, &gain, owner);
+                self.sums.add_server_counters(server, &gain, owner);
             }
         }
     }
@@ -337,7 +338,7 @@
             self.tables.spare(young.map(|(server, _)| *server).collect());
         }
         if let Some(planning) = &mut self.planning {
-            let zone = |asker| self.owners.get(usize::from(asker)).map_or(0, |owner: &Owner| owner.zone);
+            let zone = |asker| self.owners.get(usize::from(asker)).map_or(0, |owner: &AskerInfo| owner.zone);
             round.plan = planning.plan(&round, &self.book, zone, &self.settings);
         }
         self.handing.hear(&round, &mut self.sums, &self.settings);
--- a/pilot/src/handing.rs
+++ b/pilot/src/handing.rs
@@ -2,7 +2,7 @@
 
 use oatlever::round::{Address, Round};
 use oatlever_handout::{Answer, Handout, Lives, Who};
-use oatlever_reports::Sums;
+use oatlever_reports::Aggregator;
 use oatlever_roster::Book;
 use oatlever_settings::Settings;
 use oatlever_tables::Tables;
@@ -32,8 +32,8 @@
     }
 
     /// Takes in what came in a round: who brought how much.
-    pub fn hear(&mut self, round: &Round, sums: &mut Sums, settings: &Settings) {
-        let clients = std::mem::take(&mut sums.clients);
+    pub fn hear(&mut self, round: &Round, sums: &mut Aggregator, settings: &Settings) {
+        let clients = std::mem::take(&mut sums.client_queries);
         for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.keeps) {
             // A reading waits for the round for up to a period.
             let since = round.now - span - settings.reports.period;
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -53,7 +53,7 @@
     count(r, "readings", "Readings of counters", core.counts.readings);
     count(r, "readings_missed", "Readings of counters that failed", core.counts.readings_missed);
     count(r, "readings_anew", "Readings with nothing to compare with", core.counts.readings_anew);
-    count(r, "reports_strange", "Samples that name nothing known", core.sums.strange);
+    count(r, "reports_strange", "Samples that name nothing known", core.sums.unknown_labels);
     count(r, "checks", "Health checks made", core.counts.checks);
     measure(r, "askers_up", "Askers that are there", core.presence.up().count() as f64);
     measure(r, "channel_waiting_lines", "Lines not yet in use everywhere", core.tables.pull.waiting());
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -12,7 +12,7 @@
 use oatlever_dns::{Front, Gate, Handler, TcpLimits, Via};
 use oatlever_fetch as fetch;
 use oatlever_identity::{Files, Grant, Grants, Keys, Node, Peer, To};
-use oatlever_reports::{Target, Text};
+use oatlever_reports::{Exposition, Target};
 use oatlever_roster::{Cache, Moment, Source};
 use oatlever_settings::{Settings, Tls, Xds};
 use oatlever_tables::View;
@@ -163,7 +163,7 @@
 /// Whose counters are read, and what becomes of a reading.
 struct ReportDesk(Rc<Pilot>);
 
-impl oatlever_reports::Desk for ReportDesk {
+impl oatlever_reports::ScrapeHandler for ReportDesk {
     fn targets_version(&self) -> u64 {
         self.0.core.borrow().targets_version
     }
@@ -186,7 +186,7 @@
         targets
     }
 
-    fn reading(&self, target: Target, asked: Instant, text: Result<Text, String>) {
+    fn scraped(&self, target: Target, asked: Instant, text: Result<Exposition, String>) {
         let mut core = self.0.core.borrow_mut();
         core.reading(target, asked, text);
         if core.has_news() {
--- a/reports/src/counters.rs
+++ b/reports/src/counters.rs
@@ -4,7 +4,7 @@
 //! anew: what it met in between is not known, so nothing is reported of that time rather than a zero that
 //! nobody measured, and the reading is where counting starts again.
 
-use crate::text::{Sample, Text};
+use crate::text::{Exposition, Sample};
 use std::collections::HashMap;
 
 type Series = (String, Vec<(String, String)>);
@@ -17,9 +17,9 @@
 
 /// What came between two readings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Gain {
+pub struct Increase {
     /// s between the readings.
-    pub span: f64,
+    pub seconds: f64,
     /// As in the text, with what was gained as value.
     pub samples: Vec<Sample>,
 }
@@ -31,7 +31,7 @@
 
 impl Counters {
     /// Takes in a reading asked for at `at`, s. Series of one process are bounded by the text's size.
-    pub fn take(&mut self, text: &Text, at: f64) -> Option<Gain> {
+    pub fn update(&mut self, text: &Exposition, at: f64) -> Option<Increase> {
         let counters = text.samples.iter().filter(|sample| is_counter(&sample.name));
         let fresh: HashMap<Series, f64> =
             counters.clone().map(|s| ((s.name.clone(), s.labels.clone()), s.value)).collect();
@@ -47,6 +47,6 @@
             let series = (sample.name.clone(), sample.labels.clone());
             Sample { value: sample.value - old.get(&series).unwrap_or(&0.0), ..sample.clone() }
         });
-        Some(Gain { span: at - before, samples: gained.collect() })
+        Some(Increase { seconds: at - before, samples: gained.collect() })
     }
 }
--- a/reports/src/lib.rs
+++ b/reports/src/lib.rs
@@ -13,7 +13,7 @@
 mod sums;
 mod text;
 
-pub use counters::{Counters, Gain};
-pub use reader::{run, Desk, Target};
-pub use sums::{Owner, Sums};
-pub use text::{Sample, Text};
+pub use counters::{Counters, Increase};
+pub use reader::{run, ScrapeHandler, Target};
+pub use sums::{Aggregator, AskerInfo};
+pub use text::{Exposition, Sample};
--- a/reports/src/reader.rs
+++ b/reports/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads each target once a period, spread over it, so many at a time.
 
-use crate::text::Text;
+use crate::text::Exposition;
 use async_io::Timer;
 use futures_lite::{future, StreamExt};
 use futures_util::stream::FuturesUnordered;
@@ -17,13 +17,13 @@
 }
 
 /// Who wants to know.
-pub trait Desk {
+pub trait ScrapeHandler {
     /// Counts changes of the targets.
     fn targets_version(&self) -> u64;
     /// All targets now, and where each is read.
     fn targets(&self) -> BTreeMap<Target, fetch::Place>;
     /// A text asked for at `asked`, or why there is none.
-    fn reading(&self, target: Target, asked: Instant, text: Result<Text, String>);
+    fn scraped(&self, target: Target, asked: Instant, text: Result<Exposition, String>);
 }
 
 /// Part of the period by which the targets' turns are shifted against each other, one after the other:
@@ -82,7 +82,12 @@
 }
 
 /// Reads for ever. Times are seconds; `at_once` readings are under way at most, the others wait.
-pub async fn run(desk: impl Desk, period: f64, patience: f64, (most_bytes, at_once): (usize, usize)) {
+pub async fn run(
+    desk: impl ScrapeHandler,
+    period: f64,
+    patience: f64,
+    (most_bytes, at_once): (usize, usize),
+) {
     let began = Instant::now();
     let (places, phases, order, busy) = Default::default();
     let mut schedule = Schedule { began, period, places, phases, order, busy, turns: 0 };
@@ -99,7 +104,7 @@
                 let asked = Instant::now();
                 let got = fetch::get::<fetch::Shared>(&place, None, patience, most_bytes).await;
                 let text = match got {
-                    Ok(answer) if answer.status == 200 => Text::read(&answer.body),
+                    Ok(answer) if answer.status == 200 => Exposition::parse(&answer.body),
                     Ok(answer) => Err(format!("status {}", answer.status)),
                     Err(e) => Err(e.to_string()),
                 };
@@ -122,7 +127,7 @@
         };
         if let Some((target, asked, text)) = future::or(done, timer).await {
             schedule.end(target, Instant::now());
-            desk.reading(target, asked, text);
+            desk.scraped(target, asked, text);
         }
     }
 }
--- a/reports/src/sums.rs
+++ b/reports/src/sums.rs
@@ -1,6 +1,6 @@
 //! What the decisions are told once a period, added up from what targets gained.
 
-use crate::counters::Gain;
+use crate::counters::Increase;
 use crate::text::Sample;
 use oatlever::round::{Address, ProxyQueries, Tries};
 use std::collections::BTreeMap;
@@ -12,11 +12,11 @@
 
 /// An asker, as far as reports go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owner {
+pub struct AskerInfo {
     pub asker: u16,
     pub zone: u16,
     /// It has counters of its own, so that servers' counters of its addresses are not needed.
-    pub counted: bool,
+    pub has_counters: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -28,19 +28,19 @@
     span: f64,
 }
 
-/// What came in since the last [`Sums::flush`].
+/// What came in since the last [`Aggregator::flush`].
 #[derive(Clone, Debug)]
-pub struct Sums {
+pub struct Aggregator {
     period: f64,
     classes: Vec<String>,
     met: BTreeMap<(Address, u16), Met>,
     came: BTreeMap<(u16, u8), (f64, f64)>,
     /// Queries of those who come without a proxy, by server, client address and class, and the time they came in.
-    pub clients: BTreeMap<(Address, Ipv4Addr, u8), (f64, f64)>,
+    pub client_queries: BTreeMap<(Address, Ipv4Addr, u8), (f64, f64)>,
     /// The last figures of queries in flight that servers gave.
     pub in_flight: BTreeMap<Address, f64>,
     /// Samples with labels that name nothing known.
-    pub strange: u64,
+    pub unknown_labels: u64,
 }
 
 fn server(text: &str) -> Option<Address> {
@@ -48,10 +48,10 @@
     Some(Address { host: host.ip().octets(), port: host.port() })
 }
 
-impl Sums {
+impl Aggregator {
     pub fn new(period: f64, classes: Vec<String>) -> Self {
-        let (met, came, clients, in_flight) = Default::default();
-        Sums { period, classes, met, came, clients, in_flight, strange: 0 }
+        let (met, came, client_queries, in_flight) = Default::default();
+        Aggregator { period, classes, met, came, client_queries, in_flight, unknown_labels: 0 }
     }
 
     fn class(&self, sample: &Sample) -> Option<u8> {
@@ -68,19 +68,19 @@
     }
 
     /// Queries of a class that an asker stated itself to have got.
-    pub fn stated(&mut self, owner: Owner, class: &str, came: f64, span: f64) {
+    pub fn add_reported_queries(&mut self, owner: AskerInfo, class: &str, came: f64, span: f64) {
         let (part, span) = self.part(span);
         match self.classes.iter().position(|name| name == class) {
             Some(place) => self.add_queries(owner.asker, place as u8, came * part, span),
-            None => self.strange += 1,
+            None => self.unknown_labels += 1,
         }
     }
 
     /// What an asker stated itself to have met at a server: answered and failed tries, and the seconds of
     /// the answered ones together.
-    pub fn stated_at(
+    pub fn add_reported_tries(
         &mut self,
-        owner: Owner,
+        owner: AskerInfo,
         server: Address,
         (answered, failed, seconds): (f64, f64, f64),
         span: f64,
@@ -94,14 +94,19 @@
     }
 
     /// A proxy's own counters. `known` says which servers are known.
-    pub fn proxy(&mut self, owner: Owner, gain: &Gain, known: impl Fn(&Address) -> bool) {
-        let (part, span) = self.part(gain.span);
+    pub fn add_proxy_counters(
+        &mut self,
+        owner: AskerInfo,
+        gain: &Increase,
+        known: impl Fn(&Address) -> bool,
+    ) {
+        let (part, span) = self.part(gain.seconds);
         for sample in &gain.samples {
             let amount = sample.value * part;
             if sample.name == "proxy_queries_total" {
                 match self.class(sample) {
                     Some(class) => self.add_queries(owner.asker, class, amount, span),
-                    None => self.strange += 1,
+                    None => self.unknown_labels += 1,
                 }
                 continue;
             }
@@ -112,27 +117,32 @@
             }
             match sample.label("server").and_then(server).filter(&known) {
                 Some(server) => self.add(server, owner.zone, field, amount, span),
-                None => self.strange += 1,
+                None => self.unknown_labels += 1,
             }
         }
     }
 
     /// A server's counters of those who come without a proxy. `owner` says whose a client address is.
-    pub fn server(&mut self, server: Address, gain: &Gain, owner: impl Fn(Ipv4Addr) -> Option<Owner>) {
-        let (part, span) = self.part(gain.span);
+    pub fn add_server_counters(
+        &mut self,
+        server: Address,
+        gain: &Increase,
+        owner: impl Fn(Ipv4Addr) -> Option<AskerInfo>,
+    ) {
+        let (part, span) = self.part(gain.seconds);
         for sample in &gain.samples {
             let Some(field) = sample.name.strip_prefix("server_") else { continue };
             let Some(client) = sample.label("client").and_then(|text| text.parse().ok()) else { continue };
-            let Some(owner) = owner(client).filter(|owner| !owner.counted) else { continue };
+            let Some(owner) = owner(client).filter(|owner| !owner.has_counters) else { continue };
             let amount = sample.value * part;
             if field == "queries_total" {
                 match self.class(sample) {
                     Some(class) => {
                         self.add_queries(owner.asker, class, amount, span);
-                        let came = self.clients.entry((server, client, class)).or_default();
+                        let came = self.client_queries.entry((server, client, class)).or_default();
                         *came = (came.0 + amount, span.max(came.1));
                     }
-                    None => self.strange += 1,
+                    None => self.unknown_labels += 1,
                 }
                 self.add(server, owner.zone, "tries_total", amount, span);
             } else {
--- a/reports/src/text.rs
+++ b/reports/src/text.rs
@@ -16,14 +16,14 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Text {
+pub struct Exposition {
     pub samples: Vec<Sample>,
 }
 
-impl Text {
+impl Exposition {
     /// Reads a text. Errors: it is none, or was cut off: a whole one ends in `# EOF`. A cut one is not
     /// used at all, as its last figure may be a part of the true one; the next whole one covers its time.
-    pub fn read(bytes: &[u8]) -> Result<Text, String> {
+    pub fn parse(bytes: &[u8]) -> Result<Exposition, String> {
         let text = std::str::from_utf8(bytes).map_err(|e| format!("not UTF-8: {e}"))?;
         if text.trim_end().lines().last() != Some("# EOF") {
             return Err("cut off: the last line is not # EOF".to_string());
@@ -40,6 +40,6 @@
             labels.sort();
             (value.is_finite() && value >= 0.0).then_some(Sample { name: s.metric, labels, value })
         };
-        Ok(Text { samples: read.samples.into_iter().filter_map(sample).collect() })
+        Ok(Exposition { samples: read.samples.into_iter().filter_map(sample).collect() })
     }
 }
--- a/reports/tests/reports.rs
+++ b/reports/tests/reports.rs
@@ -1,9 +1,9 @@
 use oatlever::round::Address;
-use oatlever_reports::{Counters, Gain, Owner, Sample, Sums, Text};
+use oatlever_reports::{Aggregator, AskerInfo, Counters, Exposition, Increase, Sample};
 use quickcheck::quickcheck;
 
 const SERVER: Address = Address { host: [10, 0, 0, 1], port: 7000 };
-const RELAY: Owner = Owner { asker: 3, zone: 1, counted: true };
+const RELAY: AskerInfo = AskerInfo { asker: 3, zone: 1, has_counters: true };
 
 fn relay(queries: u64, answers: u64, seconds: f64, failed: u64) -> String {
     format!(
@@ -16,20 +16,20 @@
     )
 }
 
-fn text(bytes: &str) -> Text {
-    Text::read(bytes.as_bytes()).unwrap()
+fn text(bytes: &str) -> Exposition {
+    Exposition::parse(bytes.as_bytes()).unwrap()
 }
 
-fn sums() -> Sums {
-    Sums::new(1.0, vec!["search".into(), "reserve".into()])
+fn sums() -> Aggregator {
+    Aggregator::new(1.0, vec!["search".into(), "reserve".into()])
 }
 
 #[test]
 fn two_readings_give_what_came_between() {
     let (mut counters, mut sums) = (Counters::default(), sums());
-    assert_eq!(counters.take(&text(&relay(100, 90, 9.0, 2)), 10.0), None, "nothing to compare with");
-    let gain = counters.take(&text(&relay(140, 120, 15.0, 12)), 11.25).unwrap();
-    sums.proxy(RELAY, &gain, |server| *server == SERVER);
+    assert_eq!(counters.update(&text(&relay(100, 90, 9.0, 2)), 10.0), None, "nothing to compare with");
+    let gain = counters.update(&text(&relay(140, 120, 15.0, 12)), 11.25).unwrap();
+    sums.add_proxy_counters(RELAY, &gain, |server| *server == SERVER);
     let (tries, queries) = sums.flush();
     assert_eq!((queries[0].proxy, queries[0].class, queries[0].came, queries[0].span), (3, 0, 40.0, 1.25));
     assert_eq!((tries[0].server, tries[0].zone, tries[0].span), (SERVER, 1, 1.25));
@@ -45,9 +45,9 @@
     let whole = relay(123, 90, 9.5, 2);
     let end = whole.trim_end().len();
     for cut in 0..end {
-        assert!(Text::read(&whole.as_bytes()[..cut]).is_err(), "cut at {cut}");
+        assert!(Exposition::parse(&whole.as_bytes()[..cut]).is_err(), "cut at {cut}");
     }
-    assert!(Text::read(&whole.as_bytes()[..end]).is_ok());
+    assert!(Exposition::parse(&whole.as_bytes()[..end]).is_ok());
 }
 
 /// Reports stop for 20 s and then bring counters that have been reset: that time was not measured, and a
@@ -55,13 +55,13 @@
 #[test]
 fn counters_that_were_reset_measure_nothing() {
     let mut counters = Counters::default();
-    counters.take(&text(&relay(1000, 900, 90.0, 5)), 10.0);
-    assert_eq!(counters.take(&text(&relay(7, 900, 90.0, 5)), 30.0), None);
-    assert_eq!(counters.take(&text(&relay(9, 900, 90.0, 5)), 31.0).unwrap().samples[0].value, 2.0);
+    counters.update(&text(&relay(1000, 900, 90.0, 5)), 10.0);
+    assert_eq!(counters.update(&text(&relay(7, 900, 90.0, 5)), 30.0), None);
+    assert_eq!(counters.update(&text(&relay(9, 900, 90.0, 5)), 31.0).unwrap().samples[0].value, 2.0);
     // A series that went missing is a reset as well; one that is new is not.
-    assert_eq!(counters.take(&text("proxy_queries_total{class=\"search\"} 50\n# EOF"), 32.0), None);
+    assert_eq!(counters.update(&text("proxy_queries_total{class=\"search\"} 50\n# EOF"), 32.0), None);
     let both = "proxy_queries_total{class=\"search\"} 51\nproxy_queries_total{class=\"reserve\"} 4\n# EOF";
-    let gain = counters.take(&text(both), 33.0).unwrap();
+    let gain = counters.update(&text(both), 33.0).unwrap();
     let values: Vec<f64> = gain.samples.iter().map(|sample| sample.value).collect();
     assert_eq!(values, [1.0, 4.0]);
 }
@@ -77,7 +77,7 @@
     };
     let samples = vec![sample("proxy_queries_total", 200.0), sample("proxy_failed_total", 100.0)];
     let mut sums = sums();
-    sums.proxy(RELAY, &Gain { span: 20.0, samples }, |_| true);
+    sums.add_proxy_counters(RELAY, &Increase { seconds: 20.0, samples }, |_| true);
     let (tries, queries) = sums.flush();
     assert_eq!((queries[0].came, queries[0].span), (10.0, 1.0));
     assert_eq!((tries[0].failed, tries[0].span), (5.0, 1.0));
@@ -96,10 +96,10 @@
         ))
     };
     let (mut counters, mut sums) = (Counters::default(), sums());
-    counters.take(&server(4), 1.0);
-    let gain = counters.take(&server(10), 2.0).unwrap();
-    sums.server(SERVER, &gain, |client| match client.octets()[1] {
-        9 => Some(Owner { asker: 7, zone: 0, counted: false }),
+    counters.update(&server(4), 1.0);
+    let gain = counters.update(&server(10), 2.0).unwrap();
+    sums.add_server_counters(SERVER, &gain, |client| match client.octets()[1] {
+        9 => Some(AskerInfo { asker: 7, zone: 0, has_counters: false }),
         _ => Some(RELAY),
     });
     let (tries, queries) = sums.flush();
@@ -117,7 +117,7 @@
             value += u64::from(more);
             at += 0.5;
             if missed { continue; }
-            if let Some(gain) = counters.take(&text(&relay(value, 0, 0.0, 0)), at) {
+            if let Some(gain) = counters.update(&text(&relay(value, 0, 0.0, 0)), at) {
                 gained += gain.samples[0].value;
             }
             first.get_or_insert(value);
@@ -129,7 +129,7 @@
     fn strange_bytes_are_refused_or_read_without_harm(bytes: Vec<u8>) -> bool {
         let mut with_end = bytes.clone();
         with_end.extend(b"\n# EOF\n");
-        let _ = (Text::read(&bytes), Text::read(&with_end));
+        let _ = (Exposition::parse(&bytes), Exposition::parse(&with_end));
         true
     }
 }
