--- a/benches/src/streams.rs
+++ b/benches/src/streams.rs
@@ -9,7 +9,7 @@
 use oatlever_identity::Peer;
 use oatlever_tables::{Kind, News, Pull, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
-use oatlever_xds::{call, methods, serve, Class, Desk, Limits, Load, Shared};
+use oatlever_xds::{call, methods, serve, Backend, Class, Limits, LoadReport, Server};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -32,29 +32,29 @@
 #[derive(Clone)]
 struct Pilot(Rc<Book>);
 
-impl Desk for Pilot {
+impl Backend for Pilot {
     fn now(&self) -> f64 {
         self.0.began.elapsed().as_secs_f64()
     }
-    fn admit(&self, node: &str, _: Option<&str>, _: Option<&Peer>) -> Result<u16, String> {
+    fn authorize(&self, node: &str, _: Option<&str>, _: Option<&Peer>) -> Result<u16, String> {
         node.parse().map_err(|_| format!("{node:?} is no number"))
     }
-    fn unix(&self) -> f64 {
+    fn unix_time(&self) -> f64 {
         0.0
     }
-    fn arrive(&self, asker: u16) {
+    fn stream_opened(&self, asker: u16) {
         let mut tables = self.0.tables.borrow_mut();
         tables.open(0.0, 1, News::default());
         tables.bind(asker, asker % 3);
         tables.close();
     }
-    fn depart(&self, asker: u16) {
+    fn stream_closed(&self, asker: u16) {
         self.0.tables.borrow_mut().leave(asker);
     }
-    fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
+    fn with_view<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
         see(self.0.tables.borrow().held(asker, class))
     }
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.0.tables.borrow().version()
     }
     fn zone_of(&self, server: &Address) -> Option<String> {
@@ -66,8 +66,8 @@
             self.0.current.set(self.0.current.get() + 1);
         }
     }
-    fn refused(&self, _: u16, _: u64, _: &str) {}
-    fn load(&self, _: u16, _: Vec<Load>) {}
+    fn rejected(&self, _: u16, _: u64, _: &str) {}
+    fn load_reported(&self, _: u16, _: Vec<LoadReport>) {}
 }
 
 /// One proxy: it takes all that it is sent.
@@ -96,7 +96,7 @@
     };
     let first = if delta { changes(node, names.clone(), String::new()) } else { state(node, String::new()) };
     sender.try_send(first).ok()?;
-    let path = if delta { methods::DELTA } else { methods::STATE };
+    let path = if delta { methods::DELTA_AGGREGATED_RESOURCES } else { methods::STREAM_AGGREGATED_RESOURCES };
     let (response, _open) = call(socket, (host, path), receiver, &executor).await.ok()?;
     let mut reader = Reader::new(response.into_body(), 1 << 20);
     loop {
@@ -155,10 +155,15 @@
         book.last.set(tables.version());
     };
     order(1.0);
-    let classes = CLASSES.iter().map(|name| Class { name: name.to_string(), once: false }).collect();
-    let limits = Limits { patience: 30.0, most_bytes: 1 << 20, connections: 4096, report_period: 1.0 };
+    let classes = CLASSES.iter().map(|name| Class { name: name.to_string(), at_most_once: false }).collect();
+    let limits = Limits {
+        response_timeout: 30.0,
+        max_message_bytes: 1 << 20,
+        max_connections: 4096,
+        report_period: 1.0,
+    };
     let changed = Rc::new(Event::new());
-    let shared = Shared::new(Pilot(book.clone()), classes, limits, changed.clone(), 1, None);
+    let shared = Server::new(Pilot(book.clone()), classes, limits, changed.clone(), 1, None);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     rustix::net::listen(&listener, 4096).expect("a longer queue");
     let host = listener.local_addr().expect("an address");
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -15,7 +15,7 @@
 use oatlever_roster::{Book, Document, Moment, Taken};
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{Kind, News, Pull, Review, Tables, Unreviewed, View};
-use oatlever_xds::Load;
+use oatlever_xds::LoadReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -182,14 +182,14 @@
     }
 
     /// A load report of an asker on a stream.
-    pub fn load(&mut self, asker: u16, loads: Vec<Load>) {
+    pub fn load(&mut self, asker: u16, loads: Vec<LoadReport>) {
         let owner = self.owners[usize::from(asker)];
         for load in loads {
-            self.sums.add_reported_queries(owner, &load.cluster, load.came, load.span);
-            for met in load.servers {
+            self.sums.add_reported_queries(owner, &load.cluster, load.queries, load.interval);
+            for met in load.endpoints {
                 if self.book.known(&met.server).is_some() {
-                    let figures = (met.answered, met.failed, met.seconds);
-                    self.sums.add_reported_tries(owner, met.server, figures, load.span);
+                    let figures = (met.answered, met.failed, met.answer_seconds);
+                    self.sums.add_reported_tries(owner, met.server, figures, load.interval);
                 }
             }
         }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -108,17 +108,17 @@
     }
     if let Some(streams) = &*pilot.streams.borrow() {
         let met = streams.counts.borrow();
-        measure(r, "xds_streams", "Open discovery streams", streams.streams() as f64);
+        measure(r, "xds_streams", "Open discovery streams", streams.open_streams() as f64);
         count(r, "xds_pushes", "Responses sent", met.pushes);
         count(r, "xds_bytes", "Bytes of responses", met.bytes);
         count(r, "xds_acknowledged", "Responses taken", met.acknowledged);
-        count(r, "xds_refused", "Responses refused", met.refused);
+        count(r, "xds_refused", "Responses refused", met.rejected);
         count(r, "xds_stale", "Requests that answer an older response", met.stale);
         count(r, "xds_handshakes_failed", "Handshakes that came to nothing", met.handshakes_failed);
-        count(r, "xds_keys_renewed", "Keys taken up from changed files", met.keys_renewed);
-        count(r, "xds_keys_left", "Changed keys that could not be used", met.keys_left);
-        count(r, "xds_loads", "Load reports", met.loads);
-        counts(r, ("xds_ended", "Streams that ended", "why"), &met.ended);
+        count(r, "xds_keys_renewed", "Keys taken up from changed files", met.key_reloads);
+        count(r, "xds_keys_left", "Changed keys that could not be used", met.key_reload_failures);
+        count(r, "xds_loads", "Load reports", met.load_reports);
+        counts(r, ("xds_ended", "Streams that ended", "why"), &met.streams_ended);
     }
     let mut text = String::new();
     encode(&mut text, &whole)?;
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -16,7 +16,7 @@
 use oatlever_roster::{Cache, Moment, Source};
 use oatlever_settings::{Settings, Tls, Xds};
 use oatlever_tables::View;
-use oatlever_xds::orca::{self, Gauges};
+use oatlever_xds::orca::{self, ReportHandler};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read};
@@ -43,7 +43,7 @@
     pub streams: RefCell<Option<Rc<Streams>>>,
 }
 
-pub type Streams = oatlever_xds::Shared<StreamDesk>;
+pub type Streams = oatlever_xds::Server<StreamDesk>;
 
 impl Pilot {
     fn step(&self) {
@@ -98,43 +98,43 @@
     }
 }
 
-impl oatlever_xds::Desk for StreamDesk {
+impl oatlever_xds::Backend for StreamDesk {
     fn now(&self) -> f64 {
         self.pilot.core.borrow().now()
     }
 
-    fn admit(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String> {
+    fn authorize(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String> {
         let asker = *self.askers.get(node).ok_or_else(|| format!("no asker has the node {node:?}"))?;
         let core = self.pilot.core.borrow();
         let known = Node { name: node, zone: &core.settings.askers[usize::from(asker)].zone };
-        let admitted = self.grants.admit(peer, known, zone, self.unix());
+        let admitted = self.grants.admit(peer, known, zone, self.unix_time());
         admitted.map(|()| asker).map_err(|denied| {
             tracing::warn!(%denied, "proxy not let in");
             denied.to_string()
         })
     }
 
-    fn unix(&self) -> f64 {
+    fn unix_time(&self) -> f64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
     }
 
-    fn arrive(&self, asker: u16) {
+    fn stream_opened(&self, asker: u16) {
         self.pilot.core.borrow_mut().hold_stream(asker, true);
         self.pilot.changed.notify(usize::MAX);
         self.pilot.tell();
     }
 
-    fn depart(&self, asker: u16) {
+    fn stream_closed(&self, asker: u16) {
         self.pilot.core.borrow_mut().hold_stream(asker, false);
         self.pilot.changed.notify(usize::MAX);
         self.pilot.tell();
     }
 
-    fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
+    fn with_view<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
         see(self.pilot.core.borrow().tables.held(asker, class))
     }
 
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.pilot.core.borrow().tables.version()
     }
 
@@ -148,14 +148,14 @@
         self.pilot.core.borrow_mut().tables.pull.acknowledge(asker, version);
     }
 
-    fn refused(&self, asker: u16, version: u64, why: &str) {
+    fn rejected(&self, asker: u16, version: u64, why: &str) {
         let mut core = self.pilot.core.borrow_mut();
         let name = &core.settings.askers[usize::from(asker)].name;
         tracing::warn!(asker = %name, version, why, "tables refused");
         core.tables.pull.refuse(asker, version);
     }
 
-    fn load(&self, asker: u16, loads: Vec<oatlever_xds::Load>) {
+    fn load_reported(&self, asker: u16, loads: Vec<oatlever_xds::LoadReport>) {
         self.pilot.core.borrow_mut().load(asker, loads);
     }
 }
@@ -198,14 +198,14 @@
 /// What servers report by themselves.
 struct GaugeDesk(Rc<Pilot>);
 
-impl Gauges for GaugeDesk {
+impl ReportHandler for GaugeDesk {
     fn servers(&self) -> BTreeMap<Address, SocketAddrV4> {
         let core = self.0.core.borrow();
         let members = core.book.members().iter();
         members.filter_map(|(server, member)| Some((*server, member.orca?))).collect()
     }
 
-    fn in_flight(&self, server: Address, queries: f64) {
+    fn set_in_flight(&self, server: Address, queries: f64) {
         self.0.core.borrow_mut().sums.in_flight.insert(server, queries);
     }
 }
@@ -325,18 +325,19 @@
         streams: RefCell::default(),
     });
     let streams = settings.xds.as_ref().map(|xds| {
-        let class = |c: &oatlever_settings::Class| oatlever_xds::Class { name: c.name.clone(), once: c.once };
+        let class =
+            |c: &oatlever_settings::Class| oatlever_xds::Class { name: c.name.clone(), at_most_once: c.once };
         let limits = oatlever_xds::Limits {
-            patience: xds.patience,
-            most_bytes: xds.most_bytes,
-            connections: xds.connections,
+            response_timeout: xds.patience,
+            max_message_bytes: xds.most_bytes,
+            max_connections: xds.connections,
             report_period: settings.reports.period,
         };
         let classes = settings.classes.iter().map(class).collect();
         let changed = pilot.changed.clone();
         // Another life writes other versions, whatever the seed.
         let desk = StreamDesk::new(pilot.clone(), &settings, xds);
-        oatlever_xds::Shared::new(desk, classes, limits, changed, fastrand::u64(..), keys)
+        oatlever_xds::Server::new(desk, classes, limits, changed, fastrand::u64(..), keys)
     });
     *pilot.streams.borrow_mut() = streams.clone();
     let executor = Rc::new(LocalExecutor::new());
@@ -373,7 +374,7 @@
             tasks.push(executor.spawn(async move {
                 loop {
                     Timer::after(pause).await;
-                    shared.renew_keys();
+                    shared.reload_keys();
                 }
             }));
         }
--- a/standins/src/streams.rs
+++ b/standins/src/streams.rs
@@ -86,7 +86,9 @@
         type_url: CLUSTERS.to_string(),
         ..Default::default()
     };
-    let Some((sender, mut reader)) = open(asker, world, methods::STATE, framed(&first)).await else {
+    let Some((sender, mut reader)) =
+        open(asker, world, methods::STREAM_AGGREGATED_RESOURCES, framed(&first)).await
+    else {
         return Ok(());
     };
     let mut subscribed = false;
@@ -128,7 +130,9 @@
         resource_names_subscribe: names,
         ..Default::default()
     };
-    let Some((sender, mut reader)) = open(asker, world, methods::DELTA, framed(&first)).await else {
+    let Some((sender, mut reader)) =
+        open(asker, world, methods::DELTA_AGGREGATED_RESOURCES, framed(&first)).await
+    else {
         return Ok(());
     };
     let mut held = BTreeMap::new();
@@ -178,7 +182,7 @@
 pub async fn report(asker: Rc<Asker>, world: Rc<World>) {
     loop {
         let first = LoadStatsRequest { node: node(&asker), ..Default::default() };
-        let called = open(&asker, &world, methods::LOAD, framed(&first)).await;
+        let called = open(&asker, &world, methods::STREAM_LOAD_STATS, framed(&first)).await;
         if let Some((sender, mut reader)) = called {
             if let Ok(Some(wanted)) = reader.next::<LoadStatsResponse>().await {
                 let interval = wanted.load_reporting_interval.unwrap_or_default();
--- a/xds/src/client.rs
+++ b/xds/src/client.rs
@@ -1,6 +1,6 @@
 //! The calling side of a gRPC method, on a connection of its own.
 
-use crate::server::Local;
+use crate::server::HyperExecutor;
 use async_executor::{LocalExecutor, Task};
 use futures_lite::{AsyncRead, AsyncWrite, Stream, StreamExt};
 use http_body_util::StreamBody;
@@ -20,7 +20,7 @@
     messages: impl Stream<Item = Bytes> + 'static,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<(Response<Incoming>, Task<()>)> {
-    let local = Local(executor.clone());
+    let local = HyperExecutor(executor.clone());
     let (mut requests, connection) = hyper::client::conn::http2::handshake(local, FuturesIo::new(socket))
         .await
         .map_err(io::Error::other)?;
--- a/xds/src/digest.rs
+++ b/xds/src/digest.rs
@@ -27,7 +27,7 @@
 }
 
 /// The digest of names and the numbers of their versions, in order of name. A zero byte ends a name.
-pub fn of_holdings<'a>(held: impl IntoIterator<Item = (&'a str, u64)>) -> Digest {
+pub fn of_versions<'a>(held: impl IntoIterator<Item = (&'a str, u64)>) -> Digest {
     let mut hasher = SipHasher24::new();
     for (name, number) in held {
         hasher.write(name.as_bytes());
--- a/xds/src/grpc.rs
+++ b/xds/src/grpc.rs
@@ -66,15 +66,15 @@
 pub struct Reader<B> {
     body: B,
     held: Vec<u8>,
-    most_bytes: usize,
+    max_message_bytes: usize,
 }
 
 impl<B: Body<Data = Bytes> + Unpin> Reader<B>
 where
     B::Error: fmt::Display,
 {
-    pub fn new(body: B, most_bytes: usize) -> Self {
-        Reader { body, held: Vec::new(), most_bytes }
+    pub fn new(body: B, max_message_bytes: usize) -> Self {
+        Reader { body, held: Vec::new(), max_message_bytes }
     }
 
     /// The next message; none at the end. Errors: too large, compressed, cut off, or no such message.
@@ -87,8 +87,8 @@
                 }
                 let prefix = [self.held[1], self.held[2], self.held[3], self.held[4]];
                 let length = u32::from_be_bytes(prefix) as usize;
-                if length > self.most_bytes {
-                    let what = format!("a message of {length} bytes, {} at most", self.most_bytes);
+                if length > self.max_message_bytes {
+                    let what = format!("a message of {length} bytes, {} at most", self.max_message_bytes);
                     return Err(Status::new(Code::ResourceExhausted, what));
                 }
                 if self.held.len() >= PREFIX + length {
--- a/xds/src/lib.rs
+++ b/xds/src/lib.rs
@@ -16,14 +16,15 @@
 pub mod session;
 
 pub use client::call;
-pub use load::{Load, Met};
-pub use resources::{Class, Library, Place};
-pub use server::{serve, Desk, Limits, Local, Shared};
+pub use load::{EndpointLoad, LoadReport};
+pub use resources::{Class, Place, ResourceCache};
+pub use server::{serve, Backend, HyperExecutor, Limits, Server};
 
 /// Paths of the gRPC methods served.
 pub mod methods {
-    pub const STATE: &str =
+    pub const STREAM_AGGREGATED_RESOURCES: &str =
         "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
-    pub const DELTA: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-    pub const LOAD: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
+    pub const DELTA_AGGREGATED_RESOURCES: &str =
+        "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
+    pub const STREAM_LOAD_STATS: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 }
--- a/xds/src/load.rs
+++ b/xds/src/load.rs
@@ -8,23 +8,23 @@
 /// The named metric that servers state their time by (ORCA), s.
 const ANSWER_SECONDS: &str = "answer_seconds";
 
-/// What came to a proxy of a class, in a span of seconds.
+/// What queries to a proxy of a class, in a interval of seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     pub cluster: String,
-    pub came: f64,
-    pub span: f64,
-    pub servers: Vec<Met>,
+    pub queries: f64,
+    pub interval: f64,
+    pub endpoints: Vec<EndpointLoad>,
 }
 
 /// What it met at a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Met {
+pub struct EndpointLoad {
     pub server: Address,
     pub answered: f64,
     pub failed: f64,
     /// Seconds that the answers took together.
-    pub seconds: f64,
+    pub answer_seconds: f64,
 }
 
 pub fn seconds(duration: Option<&Duration>) -> f64 {
@@ -44,7 +44,7 @@
 
 /// Times of answers: by the servers' own metric where they give it, else by Little's law: queries in
 /// progress are the rate of those that end times the time of one.
-fn met(stats: &UpstreamEndpointStats, span: f64) -> Option<Met> {
+fn met(stats: &UpstreamEndpointStats, interval: f64) -> Option<EndpointLoad> {
     let (answered, failed) = (stats.total_successful_requests as f64, stats.total_error_requests as f64);
     let metric = stats.load_metric_stats.iter().find(|metric| metric.metric_name == ANSWER_SECONDS);
     let seconds = match metric {
@@ -52,17 +52,17 @@
             m.total_metric_value.max(0.0) / m.num_requests_finished_with_metric as f64 * answered
         }
         _ if answered + failed > 0.0 => {
-            stats.total_requests_in_progress as f64 * span * answered / (answered + failed)
+            stats.total_requests_in_progress as f64 * interval * answered / (answered + failed)
         }
         _ => 0.0,
     };
-    Some(Met { server: server(stats)?, answered, failed, seconds })
+    Some(EndpointLoad { server: server(stats)?, answered, failed, answer_seconds: seconds })
 }
 
 /// Reads a cluster's report; none where it covers no time, as nothing was measured then.
-pub fn read(stats: &ClusterStats) -> Option<Load> {
-    let span = seconds(stats.load_report_interval.as_ref());
-    if span <= 0.0 {
+pub fn read(stats: &ClusterStats) -> Option<LoadReport> {
+    let interval = seconds(stats.load_report_interval.as_ref());
+    if interval <= 0.0 {
         return None;
     }
     let zones = stats.upstream_locality_stats.iter();
@@ -70,11 +70,11 @@
     let ended: f64 =
         zones.clone().map(|z| (z.total_successful_requests + z.total_error_requests) as f64).sum();
     let endpoints = zones.flat_map(|zone| &zone.upstream_endpoint_stats);
-    Some(Load {
+    Some(LoadReport {
         cluster: stats.cluster_name.clone(),
         // Older clients do not count what they issued.
-        came: if issued > 0.0 { issued } else { ended } + stats.total_dropped_requests as f64,
-        span,
-        servers: endpoints.filter_map(|stats| met(stats, span)).collect(),
+        queries: if issued > 0.0 { issued } else { ended } + stats.total_dropped_requests as f64,
+        interval,
+        endpoints: endpoints.filter_map(|stats| met(stats, interval)).collect(),
     })
 }
--- a/xds/src/orca.rs
+++ b/xds/src/orca.rs
@@ -63,10 +63,10 @@
 }
 
 /// Who wants to know.
-pub trait Gauges {
+pub trait ReportHandler {
     /// Servers that give reports, and where.
     fn servers(&self) -> BTreeMap<Address, SocketAddrV4>;
-    fn in_flight(&self, server: Address, queries: f64);
+    fn set_in_flight(&self, server: Address, queries: f64);
 }
 
 /// A stream of reports, and the connection that it lives as long as.
@@ -94,7 +94,7 @@
 
 /// One stream, until it ends or falls silent. True where any report came.
 async fn listen(
-    gauges: &impl Gauges,
+    gauges: &impl ReportHandler,
     (server, host): (Address, SocketAddrV4),
     interval: f64,
     executor: Rc<LocalExecutor<'static>>,
@@ -106,7 +106,7 @@
     while let Some(report) = in_time(interval, async { reader.next::<Report>().await.ok()? }).await {
         came = true;
         if let Some(queries) = report.in_flight() {
-            gauges.in_flight(server, queries);
+            gauges.set_in_flight(server, queries);
         }
     }
     came
@@ -114,7 +114,7 @@
 
 /// A server for as long as it is named: dialled again whenever its stream ends, ever more seldom where none
 /// comes about.
-async fn keep<G: Gauges>(
+async fn keep<G: ReportHandler>(
     gauges: Rc<G>,
     of: (Address, SocketAddrV4),
     interval: f64,
@@ -129,7 +129,7 @@
 }
 
 /// Keeps a stream to each server that gives reports, for ever. `changed` tells that the servers may have.
-pub async fn run<G: Gauges + 'static>(
+pub async fn run<G: ReportHandler + 'static>(
     gauges: G,
     interval: f64,
     changed: Rc<Event>,
--- a/xds/src/resources.rs
+++ b/xds/src/resources.rs
@@ -36,11 +36,11 @@
 pub struct Class {
     pub name: String,
     /// It must never run twice.
-    pub once: bool,
+    pub at_most_once: bool,
 }
 
 /// Written resources, shared by all who use a table.
-pub struct Library {
+pub struct ResourceCache {
     pub classes: Vec<Class>,
     written: HashMap<(Kind, u16, Option<u16>), (u64, Any)>,
 }
@@ -53,9 +53,9 @@
     UInt32Value { value: value.round().clamp(1.0, f64::from(u32::MAX)) as u32 }
 }
 
-impl Library {
+impl ResourceCache {
     pub fn new(classes: Vec<Class>) -> Self {
-        Library { classes, written: HashMap::new() }
+        ResourceCache { classes, written: HashMap::new() }
     }
 
     pub fn class(&self, name: &str) -> Option<u16> {
@@ -74,7 +74,7 @@
 
     /// The mode of further tries that is published: none at all for a class that must not run twice.
     fn tries(&self, class: u16, view: Option<&View>) -> u8 {
-        let once = self.classes[usize::from(class)].once;
+        let once = self.classes[usize::from(class)].at_most_once;
         view.map_or(0, |view| view.tries).min(if once { 0 } else { ONCE_UNRUN })
     }
 
--- a/xds/src/server.rs
+++ b/xds/src/server.rs
@@ -2,9 +2,9 @@
 
 use crate::digest::{self, Digest};
 use crate::grpc::{end, framed, Code, Reader, Status};
-use crate::load::{self, Load};
+use crate::load::{self, LoadReport};
 use crate::methods;
-use crate::resources::{Class, Library, Place};
+use crate::resources::{Class, Place, ResourceCache};
 use crate::session::{Heard, Kind, Push, Request, Session, Source, Variant};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -37,44 +37,44 @@
 const STREAMS: u32 = 8;
 
 /// Where the front reads what was decided, and tells what proxies do.
-pub trait Desk {
+pub trait Backend {
     /// Seconds on the pilot's clock.
     fn now(&self) -> f64;
     /// The asker that a peer comes as, by the node it names and the zone it says it sits in. Errors: why it
     /// may not.
-    fn admit(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String>;
+    fn authorize(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String>;
     /// Unix time, s.
-    fn unix(&self) -> f64;
+    fn unix_time(&self) -> f64;
     /// Its stream is up: it is bound by the time this returns, if it can be.
-    fn arrive(&self, asker: u16);
-    fn depart(&self, asker: u16);
+    fn stream_opened(&self, asker: u16);
+    fn stream_closed(&self, asker: u16);
     /// What it may use for a class now.
-    fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R;
+    fn with_view<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R;
     /// Counts changes of tables.
-    fn version(&self) -> u64;
+    fn tables_version(&self) -> u64;
     /// The name of a server's zone.
     fn zone_of(&self, server: &Address) -> Option<String>;
     /// It holds nothing older than this version.
     fn acknowledged(&self, asker: u16, version: u64);
     /// It has refused what tables said at this version.
-    fn refused(&self, asker: u16, version: u64, why: &str);
-    fn load(&self, asker: u16, loads: Vec<Load>);
+    fn rejected(&self, asker: u16, version: u64, why: &str);
+    fn load_reported(&self, asker: u16, loads: Vec<LoadReport>);
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// s
-    pub patience: f64,
-    pub most_bytes: usize,
-    pub connections: usize,
+    pub response_timeout: f64,
+    pub max_message_bytes: usize,
+    pub max_connections: usize,
     /// s between load reports.
     pub report_period: f64,
 }
 
 /// What all streams share.
-pub struct Shared<D> {
+pub struct Server<D> {
     pub desk: D,
-    library: RefCell<Library>,
+    library: RefCell<ResourceCache>,
     limits: Limits,
     /// Tells this pilot's versions from those of another, or of another life.
     epoch: String,
@@ -92,16 +92,16 @@
     pub pushes: u64,
     pub bytes: u64,
     pub acknowledged: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub stale: u64,
-    pub loads: u64,
+    pub load_reports: u64,
     /// Handshakes that came to nothing.
     pub handshakes_failed: u64,
     /// Keys taken up from changed files, and changed files that could not be used.
-    pub keys_renewed: u64,
-    pub keys_left: u64,
+    pub key_reloads: u64,
+    pub key_reload_failures: u64,
     /// Streams that ended, by why.
-    pub ended: BTreeMap<&'static str, u64>,
+    pub streams_ended: BTreeMap<&'static str, u64>,
 }
 
 /// A discovery stream.
@@ -127,15 +127,15 @@
 
 /// Tables as one asker sees them.
 struct Sight<'a, D> {
-    shared: &'a Shared<D>,
+    shared: &'a Server<D>,
     asker: u16,
 }
 
-impl<D: Desk> Source for Sight<'_, D> {
+impl<D: Backend> Source for Sight<'_, D> {
     fn version(&self, kind: Kind, name: &str) -> Option<u64> {
         let library = self.shared.library.borrow();
         let class = library.class(name)?;
-        self.shared.desk.look(self.asker, class, |view| library.version(kind, class, view.as_ref()))
+        self.shared.desk.with_view(self.asker, class, |view| library.version(kind, class, view.as_ref()))
     }
 
     fn names(&self, _: Kind) -> Vec<String> {
@@ -143,7 +143,7 @@
     }
 
     fn now(&self) -> u64 {
-        self.shared.desk.version()
+        self.shared.desk.tables_version()
     }
 }
 
@@ -156,7 +156,7 @@
     }
 }
 
-impl<D: Desk> Shared<D> {
+impl<D: Backend> Server<D> {
     /// `changed` tells that tables may have: streams look for themselves then. `epoch` is another in each
     /// life of a pilot.
     pub fn new(
@@ -167,9 +167,9 @@
         epoch: u64,
         keys: Option<Keys>,
     ) -> Rc<Self> {
-        Rc::new(Shared {
+        Rc::new(Server {
             desk,
-            library: RefCell::new(Library::new(classes)),
+            library: RefCell::new(ResourceCache::new(classes)),
             limits,
             epoch: format!("{epoch:x}"),
             open: RefCell::default(),
@@ -181,7 +181,7 @@
     }
 
     /// Discovery streams open now.
-    pub fn streams(&self) -> usize {
+    pub fn open_streams(&self) -> usize {
         self.open.borrow().len()
     }
 
@@ -197,11 +197,12 @@
         let lines = |view: Option<View>| -> Vec<Address> {
             view.map_or(Vec::new(), |v| v.index.lines().iter().map(|line| line.server).collect())
         };
-        let servers = if kind == Kind::Endpoints { self.desk.look(asker, class, lines) } else { Vec::new() };
+        let servers =
+            if kind == Kind::Endpoints { self.desk.with_view(asker, class, lines) } else { Vec::new() };
         let zones = servers.into_iter().filter_map(|server| Some((server, self.desk.zone_of(&server)?)));
         let zones = Zones(zones.collect());
         let mut library = self.library.borrow_mut();
-        Some(self.desk.look(asker, class, |view| library.resource(kind, class, view.as_ref(), &zones)))
+        Some(self.desk.with_view(asker, class, |view| library.resource(kind, class, view.as_ref(), &zones)))
     }
 
     /// The next message to a stream, if there is one now. Tells what the proxy holds by now.
@@ -248,7 +249,7 @@
                 };
                 let holds = push.holds.iter().map(|(name, number)| (name.as_str(), *number));
                 framed(&discovery::DeltaDiscoveryResponse {
-                    system_version_info: version(push.at, digest::of_holdings(holds)),
+                    system_version_info: version(push.at, digest::of_versions(holds)),
                     resources: written.map(resource).collect(),
                     type_url,
                     removed_resources: push.removed,
@@ -265,9 +266,9 @@
         match heard {
             Heard::Acknowledged => counts.acknowledged += 1,
             Heard::Refused { at, why } => {
-                counts.refused += 1;
+                counts.rejected += 1;
                 drop(counts);
-                self.desk.refused(stream.asker, at, &why);
+                self.desk.rejected(stream.asker, at, &why);
             }
             Heard::Stale => counts.stale += 1,
             Heard::Subscribed => {}
@@ -278,18 +279,18 @@
     }
 
     /// Takes up keys and certificates that have changed, for connections from now on.
-    pub fn renew_keys(&self) {
+    pub fn reload_keys(&self) {
         let Some(keys) = &self.keys else { return };
         let mut counts = self.counts.borrow_mut();
         match keys.borrow_mut().refresh() {
             Ok(false) => {}
             Ok(true) => {
                 tracing::info!("new keys taken up");
-                counts.keys_renewed += 1;
+                counts.key_reloads += 1;
             }
             Err(what) => {
                 tracing::warn!(%what, "changed keys can't be used, the old ones stay");
-                counts.keys_left += 1;
+                counts.key_reload_failures += 1;
             }
         }
     }
@@ -298,7 +299,7 @@
         let name = node.map_or("", |node| node.id.as_str());
         let zone = node.and_then(|node| node.locality.as_ref()).map(|at| at.zone.as_str());
         let zone = zone.filter(|zone| !zone.is_empty());
-        self.desk.admit(name, zone, peer).map_err(|why| Status::new(Code::PermissionDenied, why))
+        self.desk.authorize(name, zone, peer).map_err(|why| Status::new(Code::PermissionDenied, why))
     }
 
     /// A node takes up a stream; an older one of the same node ends.
@@ -317,9 +318,9 @@
         let older = self.open.borrow_mut().insert(asker, stream.clone());
         if let Some(older) = older {
             older.close(Status::new(Code::Aborted, "the node has a newer stream"));
-            self.desk.depart(asker);
+            self.desk.stream_closed(asker);
         }
-        self.desk.arrive(asker);
+        self.desk.stream_opened(asker);
         Ok(stream)
     }
 
@@ -328,14 +329,14 @@
         if open.get(&stream.asker).is_some_and(|last| Rc::ptr_eq(last, stream)) {
             open.remove(&stream.asker);
             drop(open);
-            self.desk.depart(stream.asker);
+            self.desk.stream_closed(stream.asker);
         }
     }
 
     /// That a certificate has run out, if it has.
     fn expired(&self, until: f64) -> Option<Status> {
         let expired = || Status::new(Code::Unauthenticated, "the client certificate has run out");
-        (self.desk.unix() >= until).then(expired)
+        (self.desk.unix_time() >= until).then(expired)
     }
 
     /// Why a stream must end now: its proxy has kept its pilot waiting for too long, or may no longer come as
@@ -345,9 +346,9 @@
             return Some(expired);
         }
         let now = self.desk.now();
-        let late = |since: f64| now - since > self.limits.patience;
+        let late = |since: f64| now - since > self.limits.response_timeout;
         let session = stream.session.borrow();
-        let bound = self.desk.look(stream.asker, 0, |view| view.is_some());
+        let bound = self.desk.with_view(stream.asker, 0, |view| view.is_some());
         // One that never asks for lines keeps those it came with. One that refuses them has answered: cut
         // off, it would dial again, refuse again, and so on.
         let overdue = session.unanswered_since().is_some_and(late)
@@ -411,8 +412,8 @@
 type Messages = Pin<Box<dyn futures_lite::Stream<Item = Result<Frame<Bytes>, Infallible>>>>;
 
 /// A body that is made as HTTP/2 asks for it, so that flow control is the channel.
-fn body<D: Desk + 'static>(shared: Rc<Shared<D>>, stream: Rc<Stream>) -> Messages {
-    let next = |(shared, stream, over): (Rc<Shared<D>>, Rc<Stream>, bool)| async move {
+fn body<D: Backend + 'static>(shared: Rc<Server<D>>, stream: Rc<Stream>) -> Messages {
+    let next = |(shared, stream, over): (Rc<Server<D>>, Rc<Stream>, bool)| async move {
         loop {
             if over {
                 return None;
@@ -432,8 +433,8 @@
 }
 
 /// Hears a discovery stream until it ends, and why.
-async fn converse<D: Desk, M: Asked>(
-    shared: &Rc<Shared<D>>,
+async fn converse<D: Backend, M: Asked>(
+    shared: &Rc<Server<D>>,
     stream: &Rc<Stream>,
     reader: &mut Reader<Incoming>,
     mut first: Option<M>,
@@ -449,7 +450,7 @@
                         if let Some(status) = told.or_else(|| shared.trouble(stream)) {
                             return Err(status);
                         }
-                        let pause = Duration::from_secs_f64(shared.limits.patience / 4.0);
+                        let pause = Duration::from_secs_f64(shared.limits.response_timeout / 4.0);
                         let timer = async {
                             Timer::after(pause).await;
                         };
@@ -492,13 +493,13 @@
 }
 
 /// A discovery stream, from its first request on.
-async fn discover<D: Desk + 'static, M: Asked + 'static>(
-    shared: Rc<Shared<D>>,
+async fn discover<D: Backend + 'static, M: Asked + 'static>(
+    shared: Rc<Server<D>>,
     mut reader: Reader<Incoming>,
     peer: Option<Rc<Peer>>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Answer {
-    let patience = Duration::from_secs_f64(shared.limits.patience);
+    let patience = Duration::from_secs_f64(shared.limits.response_timeout);
     let late = async {
         Timer::after(patience).await;
         Err(Status::new(Code::DeadlineExceeded, "no first request in time"))
@@ -511,7 +512,7 @@
     let stream = match shared.join(first.node(), peer.as_deref(), M::VARIANT) {
         Ok(stream) => stream,
         Err(status) => {
-            *shared.counts.borrow_mut().ended.entry("refused").or_default() += 1;
+            *shared.counts.borrow_mut().streams_ended.entry("refused").or_default() += 1;
             return refusal(&status);
         }
     };
@@ -527,7 +528,7 @@
             _ => "malformed",
         };
         tracing::info!(asker = stream.asker, %status, "stream ended");
-        *shared.counts.borrow_mut().ended.entry(why).or_default() += 1;
+        *shared.counts.borrow_mut().streams_ended.entry(why).or_default() += 1;
         stream.close(status);
         shared.leave(&stream);
     };
@@ -536,8 +537,8 @@
 }
 
 /// A load reporting stream: one answer says what is wanted, then reports come.
-fn loads<D: Desk + 'static>(
-    shared: Rc<Shared<D>>,
+fn loads<D: Backend + 'static>(
+    shared: Rc<Server<D>>,
     mut reader: Reader<Incoming>,
     peer: Option<Rc<Peer>>,
     executor: Rc<LocalExecutor<'static>>,
@@ -574,8 +575,8 @@
                 break expired;
             }
             let read = report.cluster_stats.iter().filter_map(load::read);
-            shared.counts.borrow_mut().loads += 1;
-            shared.desk.load(of, read.collect());
+            shared.counts.borrow_mut().load_reports += 1;
+            shared.desk.load_reported(of, read.collect());
         };
         *end_status.borrow_mut() = Some(ended);
         end_told.notify(usize::MAX);
@@ -597,9 +598,9 @@
 
 /// Spawns what HTTP/2 needs on an executor of one thread.
 #[derive(Clone)]
-pub struct Local(pub Rc<LocalExecutor<'static>>);
+pub struct HyperExecutor(pub Rc<LocalExecutor<'static>>);
 
-impl<F: Future + 'static> hyper::rt::Executor<F> for Local {
+impl<F: Future + 'static> hyper::rt::Executor<F> for HyperExecutor {
     fn execute(&self, work: F) {
         let work = async move {
             work.await;
@@ -609,10 +610,10 @@
 }
 
 /// Serves a connection until it ends. `asked` tells that a request came.
-async fn requests<D: Desk + 'static>(
+async fn requests<D: Backend + 'static>(
     socket: impl AsyncRead + AsyncWrite + Unpin + 'static,
     peer: Option<Rc<Peer>>,
-    shared: Rc<Shared<D>>,
+    shared: Rc<Server<D>>,
     executor: Rc<LocalExecutor<'static>>,
     asked: &Cell<bool>,
 ) {
@@ -621,21 +622,21 @@
         let (shared, peer, executor) = (shared.clone(), peer.clone(), executor.clone());
         async move {
             let (head, body) = request.into_parts();
-            let reader = Reader::new(body, shared.limits.most_bytes);
+            let reader = Reader::new(body, shared.limits.max_message_bytes);
             let response = match (head.method, head.uri.path()) {
-                (Method::POST, methods::STATE) => {
+                (Method::POST, methods::STREAM_AGGREGATED_RESOURCES) => {
                     discover::<_, discovery::DiscoveryRequest>(shared, reader, peer, executor).await
                 }
-                (Method::POST, methods::DELTA) => {
+                (Method::POST, methods::DELTA_AGGREGATED_RESOURCES) => {
                     discover::<_, discovery::DeltaDiscoveryRequest>(shared, reader, peer, executor).await
                 }
-                (Method::POST, methods::LOAD) => loads(shared, reader, peer, executor),
+                (Method::POST, methods::STREAM_LOAD_STATS) => loads(shared, reader, peer, executor),
                 _ => refusal(&Status::new(Code::Unimplemented, "no such method")),
             };
             Ok::<_, Infallible>(response)
         }
     });
-    let mut builder = hyper::server::conn::http2::Builder::new(Local(executor.clone()));
+    let mut builder = hyper::server::conn::http2::Builder::new(HyperExecutor(executor.clone()));
     builder.max_concurrent_streams(STREAMS);
     // However it ends, its streams hear of it by themselves.
     let _ = builder.serve_connection(FuturesIo::new(socket), service).await;
@@ -647,9 +648,9 @@
     shown.map(|certificate| Peer::read(certificate).map(Rc::new)).transpose()
 }
 
-async fn connection<D: Desk + 'static>(
+async fn connection<D: Backend + 'static>(
     socket: Async<TcpStream>,
-    shared: Rc<Shared<D>>,
+    shared: Rc<Server<D>>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
     let asked = Cell::new(false);
@@ -672,7 +673,7 @@
     };
     // Guards against connections that say nothing: a few thousand would keep all proxies out.
     let silent = async {
-        Timer::after(Duration::from_secs_f64(shared.limits.patience)).await;
+        Timer::after(Duration::from_secs_f64(shared.limits.response_timeout)).await;
         if asked.get() {
             future::pending::<()>().await;
         }
@@ -681,9 +682,9 @@
 }
 
 /// Serves for ever; connections past the limit are closed at once.
-pub async fn serve<D: Desk + 'static>(
+pub async fn serve<D: Backend + 'static>(
     listener: TcpListener,
-    shared: Rc<Shared<D>>,
+    shared: Rc<Server<D>>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let listener = Async::<TcpListener>::try_from(listener)?;
@@ -692,7 +693,7 @@
             Timer::after(Duration::from_millis(10)).await;
             continue;
         };
-        if shared.connections.get() >= shared.limits.connections {
+        if shared.connections.get() >= shared.limits.max_connections {
             continue;
         }
         let _ = socket.get_ref().set_nodelay(true);
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -9,7 +9,7 @@
 use oatlever_identity::{Grants, Keys, Node as Known, Peer};
 use oatlever_tables::{Kind as AskerKind, News, Pull, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
-use oatlever_xds::{call, methods, serve, Class, Desk, Limits, Load, Shared};
+use oatlever_xds::{call, methods, serve, Backend, Class, Limits, LoadReport, Server};
 use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -31,7 +31,7 @@
     pub up: RefCell<Vec<(u16, bool)>>,
     pub told: RefCell<Vec<(u16, u64)>>,
     pub refused: RefCell<Vec<String>>,
-    pub loads: RefCell<Vec<Load>>,
+    pub loads: RefCell<Vec<LoadReport>>,
     pub rounds: Cell<u64>,
     pub changed: Rc<Event>,
 }
@@ -39,35 +39,35 @@
 #[derive(Clone)]
 pub struct Book(pub Rc<State>);
 
-impl Desk for Book {
+impl Backend for Book {
     fn now(&self) -> f64 {
         self.0.began.elapsed().as_secs_f64()
     }
-    fn admit(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String> {
+    fn authorize(&self, node: &str, zone: Option<&str>, peer: Option<&Peer>) -> Result<u16, String> {
         let asker = node.strip_prefix("relay-").and_then(|n| n.parse().ok()).filter(|n| *n < 500);
         let asker: u16 = asker.ok_or_else(|| format!("no asker has the node {node:?}"))?;
         let known = Known { name: node, zone: if asker.is_multiple_of(2) { "even" } else { "odd" } };
         self.0
             .grants
-            .admit(peer, known, zone, self.unix())
+            .admit(peer, known, zone, self.unix_time())
             .map(|()| asker)
             .map_err(|denied| denied.to_string())
     }
-    fn unix(&self) -> f64 {
+    fn unix_time(&self) -> f64 {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64()
     }
-    fn arrive(&self, asker: u16) {
+    fn stream_opened(&self, asker: u16) {
         self.0.up.borrow_mut().push((asker, true));
         self.order(|tables| tables.bind(asker, asker % 2));
     }
-    fn depart(&self, asker: u16) {
+    fn stream_closed(&self, asker: u16) {
         self.0.up.borrow_mut().push((asker, false));
         self.0.tables.borrow_mut().leave(asker);
     }
-    fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
+    fn with_view<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
         see(self.0.tables.borrow().held(asker, class))
     }
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.0.tables.borrow().version()
     }
     fn zone_of(&self, server: &Address) -> Option<String> {
@@ -77,11 +77,11 @@
         self.0.told.borrow_mut().push((asker, version));
         self.0.tables.borrow_mut().pull.acknowledge(asker, version);
     }
-    fn refused(&self, asker: u16, version: u64, why: &str) {
+    fn rejected(&self, asker: u16, version: u64, why: &str) {
         self.0.refused.borrow_mut().push(why.to_string());
         self.0.tables.borrow_mut().pull.refuse(asker, version);
     }
-    fn load(&self, _: u16, loads: Vec<Load>) {
+    fn load_reported(&self, _: u16, loads: Vec<LoadReport>) {
         self.0.loads.borrow_mut().extend(loads);
     }
 }
@@ -114,7 +114,7 @@
 pub struct Play {
     pub book: Book,
     pub host: SocketAddr,
-    pub shared: Rc<Shared<Book>>,
+    pub shared: Rc<Server<Book>>,
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -164,10 +164,15 @@
             tables.admit(u16::from(table), 2, 0.75, 1);
         }
     });
-    let class = |name: &str, once| Class { name: name.into(), once };
-    let limits = Limits { patience, most_bytes: 1 << 16, connections: 600, report_period: 0.1 };
+    let class = |name: &str, at_most_once| Class { name: name.into(), at_most_once };
+    let limits = Limits {
+        response_timeout: patience,
+        max_message_bytes: 1 << 16,
+        max_connections: 600,
+        report_period: 0.1,
+    };
     let classes = vec![class("search", false), class("reserve", true)];
-    let shared = Shared::new(book.clone(), classes, limits, changed, 9, keys);
+    let shared = Server::new(book.clone(), classes, limits, changed, 9, keys);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&listener, 4096).unwrap();
     let host = listener.local_addr().unwrap();
@@ -207,7 +212,7 @@
     }
 
     pub async fn discover(play: &Play, node: &str, type_url: &str, names: &[&str]) -> Call {
-        Call::start(play, methods::STATE, request(node, type_url, names, "")).await
+        Call::start(play, methods::STREAM_AGGREGATED_RESOURCES, request(node, type_url, names, "")).await
     }
 
     pub async fn next(&mut self) -> DiscoveryResponse {
--- a/xds/tests/front/identities.rs
+++ b/xds/tests/front/identities.rs
@@ -105,7 +105,14 @@
 /// A discovery stream of a node, unless the connection itself was refused.
 async fn discover(play: &Rc<Play>, pilots: &Authority, own: Option<&Signed>, node: &str) -> Option<Call> {
     let socket = dial(play, pilots, own).await.ok()?;
-    Call::over(socket, play, methods::STATE, request(node, &endpoints(), &["search"], "")).await.ok()
+    Call::over(
+        socket,
+        play,
+        methods::STREAM_AGGREGATED_RESOURCES,
+        request(node, &endpoints(), &["search"], ""),
+    )
+    .await
+    .ok()
 }
 
 fn grants() -> Grants {
@@ -152,7 +159,8 @@
             ..Default::default()
         };
         let socket = dial(&play, &pilots, Some(&even)).await.unwrap();
-        let call = Call::over(socket, &play, methods::STATE, framed(&first)).await.unwrap();
+        let call =
+            Call::over(socket, &play, methods::STREAM_AGGREGATED_RESOURCES, framed(&first)).await.unwrap();
         assert_eq!(call.status, Some(Code::PermissionDenied as u16));
 
         // No certificate, one of another authority, one of the pilots' own, one that has run out.
@@ -168,7 +176,13 @@
         }
         // And a proxy that speaks no TLS.
         let raw = Async::<TcpStream>::connect(play.host).await.unwrap();
-        let plain = Call::over(raw, &play, methods::STATE, request("relay-4", &endpoints(), &[], "")).await;
+        let plain = Call::over(
+            raw,
+            &play,
+            methods::STREAM_AGGREGATED_RESOURCES,
+            request("relay-4", &endpoints(), &[], ""),
+        )
+        .await;
         assert!(plain.is_err());
         play.book
             .until("five failed handshakes", |_| play.shared.counts.borrow().handshakes_failed == 5)
@@ -192,15 +206,15 @@
         old.take(&["search"]).await;
 
         std::fs::write(folder.files().certificate, "-----BEGIN CERT").unwrap();
-        play.shared.renew_keys();
-        assert_eq!(play.shared.counts.borrow().keys_left, 1);
+        play.shared.reload_keys();
+        assert_eq!(play.shared.counts.borrow().key_reload_failures, 1);
         let again = discover(&play, &pilots, Some(&even), "relay-6").await;
         assert!(again.is_some(), "the old keys stay while a file is written");
 
         let (next_pilots, next_proxies) = (Authority::new(), Authority::new());
         folder.write(&next_pilots.sign("pilot.test", DAY), &next_proxies.pem());
-        play.shared.renew_keys();
-        assert_eq!(play.shared.counts.borrow().keys_renewed, 1);
+        play.shared.reload_keys();
+        assert_eq!(play.shared.counts.borrow().key_reloads, 1);
         assert!(discover(&play, &pilots, Some(&even), "relay-2").await.is_none(), "old pilot's authority");
         assert!(discover(&play, &next_pilots, Some(&even), "relay-2").await.is_none(), "old authority");
         let fresh = next_proxies.sign("spiffe://shops/even/4", DAY);
@@ -227,7 +241,7 @@
         assert_eq!(*play.book.0.up.borrow(), [(4, true)]);
         assert!(call.ended().await);
         play.book.until("the end", |state| *state.up.borrow() == [(4, true), (4, false)]).await;
-        assert_eq!(play.shared.counts.borrow().ended.get("expired"), Some(&1));
+        assert_eq!(play.shared.counts.borrow().streams_ended.get("expired"), Some(&1));
         assert!(discover(&play, &pilots, Some(&even), "relay-4").await.is_none());
     });
 }
--- a/xds/tests/front/orca.rs
+++ b/xds/tests/front/orca.rs
@@ -9,8 +9,8 @@
 use hyper::service::service_fn;
 use oatlever::round::Address;
 use oatlever_xds::grpc::{framed, Reader};
-use oatlever_xds::orca::{run, Gauges, Report, Request, METHOD};
-use oatlever_xds::Local;
+use oatlever_xds::orca::{run, Report, ReportHandler, Request, METHOD};
+use oatlever_xds::HyperExecutor;
 use smol_hyper::rt::FuturesIo;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,13 +29,13 @@
 }
 
 #[derive(Clone, Default)]
-struct Desk(Rc<Known>);
+struct Backend(Rc<Known>);
 
-impl Gauges for Desk {
+impl ReportHandler for Backend {
     fn servers(&self) -> BTreeMap<Address, SocketAddrV4> {
         self.0.servers.borrow().clone()
     }
-    fn in_flight(&self, server: Address, queries: f64) {
+    fn set_in_flight(&self, server: Address, queries: f64) {
         self.0.heard.borrow_mut().entry(server).or_default().push(queries);
     }
 }
@@ -59,7 +59,7 @@
                 let reports = stream::iter([1.0, 2.0, 3.0, f64::NAN].map(report)).chain(stream::pending());
                 Ok::<_, Infallible>(hyper::Response::new(StreamBody::new(reports)))
             });
-            let builder = hyper::server::conn::http2::Builder::new(Local(of));
+            let builder = hyper::server::conn::http2::Builder::new(HyperExecutor(of));
             let _ = builder.serve_connection(FuturesIo::new(socket), service).await;
             open.set(open.get() - 1);
         };
@@ -73,7 +73,7 @@
     async_io::block_on(executor.clone().run(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let SocketAddr::V4(host) = listener.local_addr().unwrap() else { panic!() };
-        let (open, desk, changed) = (Rc::new(Cell::new(0)), Desk::default(), Rc::new(Event::new()));
+        let (open, desk, changed) = (Rc::new(Cell::new(0)), Backend::default(), Rc::new(Event::new()));
         let server = |n: u8| Address { host: [10, 0, 0, n], port: 7000 };
         // One reports; one has nobody at its port; one takes the connection and says nothing.
         let mute = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/xds/tests/front/streams.rs
+++ b/xds/tests/front/streams.rs
@@ -7,7 +7,7 @@
 use oatlever::round::Writer;
 use oatlever_tables::Unreviewed;
 use oatlever_xds::grpc::{framed, Code};
-use oatlever_xds::{methods, Desk, Load};
+use oatlever_xds::{methods, Backend, LoadReport};
 use prost::Message;
 use siphasher::sip::SipHasher24;
 use std::collections::BTreeMap;
@@ -139,7 +139,7 @@
         book.order(|tables| tables.weigh(0, server(1), 1.0));
         let next = call.take(&["search"]).await;
         assert_eq!(lines(&decode(&next)).len(), 2);
-        let version = book.version();
+        let version = book.tables_version();
         book.until("the ACK", |state| state.told.borrow().contains(&(0, version))).await;
     });
 }
@@ -157,7 +157,7 @@
             let response = quick.take(&["search"]).await;
             assert!(!lines(&decode(&response)).is_empty());
         }
-        let version = book.version();
+        let version = book.tables_version();
         book.until("the last version", |state| state.told.borrow().contains(&(2, version))).await;
         book.until("the cut", |state| state.up.borrow().contains(&(0, false))).await;
         // What waits for the one that was cut off is dropped, so that the others' acknowledgements go on.
@@ -186,7 +186,7 @@
         for bytes in
             [vec![0, 0, 0, 0, 3, 255, 255, 255], vec![1, 0, 0, 0, 1, 0], vec![0, 255, 255, 255, 255], noise]
         {
-            let call = Call::start(&play, methods::STATE, bytes.into()).await;
+            let call = Call::start(&play, methods::STREAM_AGGREGATED_RESOURCES, bytes.into()).await;
             assert!(call.status.is_some_and(|status| status > 0));
         }
         let mut call = Call::discover(&play, "relay-0", "type.googleapis.com/unknown", &[]).await;
@@ -232,7 +232,7 @@
         play.book.order(|tables| tables.weigh(0, server(1), 9.0));
         assert_eq!(lines(&decode(&new.take(&["search"]).await))[1].2, 0.9);
         assert_eq!(*play.book.0.up.borrow(), [(6, true), (6, false), (6, true)]);
-        assert_eq!(play.shared.streams(), 1);
+        assert_eq!(play.shared.open_streams(), 1);
     });
 }
 
@@ -258,7 +258,7 @@
         let book = play.book.clone();
         book.until("all streams", |state| state.up.borrow().len() == 480).await;
         book.order(|tables| (0..2u16).for_each(|table| tables.weigh(table, server(40), 2.0)));
-        let version = book.version();
+        let version = book.tables_version();
         book.until("everybody's ACK", |state| {
             state.told.borrow().iter().filter(|(_, held)| *held >= version).count() == 480
         })
@@ -274,7 +274,7 @@
     play(|play| async move {
         let node = Some(Node { id: "relay-1".into(), ..Default::default() });
         let first = LoadStatsRequest { node, ..Default::default() };
-        let mut call = Call::start(&play, methods::LOAD, framed(&first)).await;
+        let mut call = Call::start(&play, methods::STREAM_LOAD_STATS, framed(&first)).await;
         let wanted: LoadStatsResponse = call.reader.next().await.unwrap().unwrap();
         assert!(wanted.send_all_clusters && wanted.report_endpoint_granularity);
         let cluster = |seconds| ClusterStats {
@@ -286,7 +286,8 @@
         let stats = LoadStatsRequest { cluster_stats: vec![cluster(2), cluster(0)], ..Default::default() };
         call.sender.send(framed(&stats)).await.unwrap();
         play.book.until("the report", |state| !state.loads.borrow().is_empty()).await;
-        let wanted = Load { cluster: "search".into(), came: 4.0, span: 2.0, servers: Vec::new() };
+        let wanted =
+            LoadReport { cluster: "search".into(), queries: 4.0, interval: 2.0, endpoints: Vec::new() };
         assert_eq!(*play.book.0.loads.borrow(), [wanted], "one that covers no time measured nothing");
     });
 }
@@ -312,7 +313,8 @@
                 ..Default::default()
             })
         };
-        let mut call = Call::start(&play, methods::DELTA, request("relay-0", &both, "")).await;
+        let mut call =
+            Call::start(&play, methods::DELTA_AGGREGATED_RESOURCES, request("relay-0", &both, "")).await;
         let (mut held, mut missed) = (BTreeMap::new(), BTreeMap::new());
         for round in 0..20u8 {
             let response: DeltaDiscoveryResponse = call.reader.next().await.unwrap().unwrap();
@@ -411,7 +413,7 @@
                     let socket = Trickle { socket, pause: Timer::after(BETWEEN_BYTES) };
                     let first = request(&format!("relay-{}", 2 * n + 1), &endpoints(), &["search"], "");
                     // The connection's own settings come as slowly: most never hear so much as a response.
-                    drop(Call::over(socket, &of, methods::STATE, first).await);
+                    drop(Call::over(socket, &of, methods::STREAM_AGGREGATED_RESOURCES, first).await);
                     std::future::pending::<()>().await;
                 })
             })
@@ -434,7 +436,7 @@
         for n in 0..5u8 {
             book.order(|tables| (0..2).for_each(|table| tables.weigh(table, server(n), 5.0)));
         }
-        let version = book.version();
+        let version = book.tables_version();
         let current = |state: &State| {
             let told = state.told.borrow();
             told.iter().filter(|(asker, held)| asker % 2 == 0 && *held >= version).count()
@@ -469,7 +471,11 @@
                 cluster_stats: vec![ClusterStats { cluster_name: "search".into(), ..Default::default() }],
             }),
         ];
-        let paths = [methods::STATE, methods::DELTA, methods::LOAD];
+        let paths = [
+            methods::STREAM_AGGREGATED_RESOURCES,
+            methods::DELTA_AGGREGATED_RESOURCES,
+            methods::STREAM_LOAD_STATS,
+        ];
         let mut all = Vec::new();
         for n in 0..300 {
             let mut bytes = whole[n % 3].to_vec();
@@ -494,6 +500,6 @@
         }
         let mut good = Call::discover(&play, "relay-4", &endpoints(), &["search"]).await;
         assert_eq!(lines(&decode(&good.take(&["search"]).await)).len(), 2);
-        play.book.until("only the good one", |_| play.shared.streams() == 1).await;
+        play.book.until("only the good one", |_| play.shared.open_streams() == 1).await;
     });
 }
