--- a/reports/src/lib.rs
+++ b/reports/src/lib.rs
@@ -1,11 +1,11 @@
-//! What proxies and servers met, from the counters that they publish as OpenMetrics text.
+//! Load of proxies and servers, from the counters that they publish in OpenMetrics text format.
 //!
-//! `text` reads one text, `counters` turns two texts of a target into what came between, `sums` adds up
-//! what the decisions are told once a period, `reader` does the reading.
+//! `text` parses one exposition, `counters` computes the increase between two scrapes of a target, `sums` aggregates
+//! increases into the reports that the balancer is given once per report period, and `reader` scrapes the targets.
 //!
-//! Proxies publish `proxy_queries_total{class}`, and by server `proxy_tries_total{server}`,
-//! `proxy_failed_total{server}`, `proxy_answer_seconds_sum{server}` and `_count`. Servers publish the same
-//! of clients that come without a proxy, by client address: `server_queries_total{class,client}`,
+//! Proxies publish `proxy_queries_total{class}`, and per server `proxy_tries_total{server}`,
+//! `proxy_failed_total{server}`, `proxy_answer_seconds_sum{server}` and `_count`. Servers publish the same for clients
+//! that connect without a proxy, per client address: `server_queries_total{class,client}`,
 //! `server_failed_total{client}`, `server_answer_seconds_sum{client}` and `_count`, and `server_in_flight`.
 
 mod counters;
--- a/reports/src/reader.rs
+++ b/reports/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads each target once a period, spread over it, so many at a time.
+//! Scrapes each target once per period, with the scrapes spread over the period and a limit on concurrent ones.
 
 use crate::text::Exposition;
 use async_io::Timer;
@@ -9,125 +9,130 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Whose counters are read.
+/// A process whose counters are scraped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
     Asker(u16),
     Server(Address),
 }
 
-/// Who wants to know.
+/// Supplies the targets and receives the results of scrapes.
 pub trait ScrapeHandler {
-    /// Counts changes of the targets.
+    /// Increases with each change of the targets.
     fn targets_version(&self) -> u64;
-    /// All targets now, and where each is read.
+    /// The current targets and the URL at which each is scraped.
     fn targets(&self) -> BTreeMap<Target, fetch::Place>;
-    /// A text asked for at `asked`, or why there is none.
-    fn scraped(&self, target: Target, asked: Instant, text: Result<Exposition, String>);
+    /// Receives the result of a scrape that was started at `started`.
+    fn scraped(&self, target: Target, started: Instant, result: Result<Exposition, String>);
 }
 
-/// Part of the period by which the targets' turns are shifted against each other, one after the other:
-/// the golden section spreads any number of them.
-const SHIFT: f64 = 0.618_033_988_749_894_9;
+/// Offset between the phases of targets added one after the other, as a part of the period. Multiples of the golden
+/// ratio are evenly spread for any number of targets.
+const PHASE_STEP: f64 = 0.618_033_988_749_894_9;
 
-/// Whose turn is when. A target has one place in the order, and none while it is being read.
+/// When each target is due. A target has one entry in `queue`, and none while it is being scraped.
 struct Schedule {
-    began: Instant,
+    start: Instant,
     period: f64,
-    places: BTreeMap<Target, fetch::Place>,
-    /// Each target's part of the period.
+    targets: BTreeMap<Target, fetch::Place>,
+    /// Offset of each target's scrapes within the period, in seconds.
     phases: BTreeMap<Target, f64>,
-    order: BTreeSet<(Instant, Target)>,
-    busy: BTreeSet<Target>,
-    turns: u64,
+    queue: BTreeSet<(Instant, Target)>,
+    in_progress: BTreeSet<Target>,
+    phases_assigned: u64,
 }
 
 impl Schedule {
-    /// The first turn of a phase after a moment.
-    fn turn(&self, phase: f64, after: Instant) -> Instant {
-        let gone = after.saturating_duration_since(self.began).as_secs_f64();
-        let turns = ((gone - phase) / self.period).floor().max(-1.0) + 1.0;
-        self.began + Duration::from_secs_f64(turns * self.period + phase)
+    fn new(start: Instant, period: f64) -> Self {
+        let (targets, phases, queue, in_progress) = Default::default();
+        Schedule { start, period, targets, phases, queue, in_progress, phases_assigned: 0 }
     }
 
-    fn follow(&mut self, places: BTreeMap<Target, fetch::Place>, now: Instant) {
-        self.order.retain(|(_, target)| places.contains_key(target));
-        self.phases.retain(|target, _| places.contains_key(target));
-        for target in places.keys().filter(|target| !self.places.contains_key(target)) {
-            self.turns += 1;
-            let phase = (self.turns as f64 * SHIFT).fract() * self.period;
+    /// The first time after `after` at which a target with this phase is due.
+    fn next_due(&self, phase: f64, after: Instant) -> Instant {
+        let elapsed = after.saturating_duration_since(self.start).as_secs_f64();
+        let periods = ((elapsed - phase) / self.period).floor().max(-1.0) + 1.0;
+        self.start + Duration::from_secs_f64(periods * self.period + phase)
+    }
+
+    /// Replaces the targets; those that stay keep their phases.
+    fn set_targets(&mut self, targets: BTreeMap<Target, fetch::Place>, now: Instant) {
+        self.queue.retain(|(_, target)| targets.contains_key(target));
+        self.phases.retain(|target, _| targets.contains_key(target));
+        for target in targets.keys().filter(|target| !self.targets.contains_key(target)) {
+            self.phases_assigned += 1;
+            let phase = (self.phases_assigned as f64 * PHASE_STEP).fract() * self.period;
             self.phases.insert(*target, phase);
-            if !self.busy.contains(target) {
-                self.order.insert((self.turn(phase, now), *target));
+            if !self.in_progress.contains(target) {
+                self.queue.insert((self.next_due(phase, now), *target));
             }
         }
-        self.places = places;
+        self.targets = targets;
     }
 
-    /// A target whose turn has come.
-    fn start(&mut self, now: Instant) -> Option<(Target, fetch::Place)> {
-        let first = self.order.first().copied().filter(|(at, _)| *at <= now)?;
-        self.order.remove(&first);
-        self.busy.insert(first.1);
-        Some((first.1, self.places[&first.1].clone()))
+    /// Takes a due target off the queue and marks it as being scraped.
+    fn pop_due(&mut self, now: Instant) -> Option<(Target, fetch::Place)> {
+        let first = self.queue.first().copied().filter(|(due, _)| *due <= now)?;
+        self.queue.remove(&first);
+        self.in_progress.insert(first.1);
+        Some((first.1, self.targets[&first.1].clone()))
     }
 
-    /// It has been read; turns missed meanwhile are not made up.
-    fn end(&mut self, target: Target, now: Instant) {
-        self.busy.remove(&target);
+    /// Queues a target again after its scrape. Scrapes that fell due in the meantime are skipped.
+    fn finish(&mut self, target: Target, now: Instant) {
+        self.in_progress.remove(&target);
         if let Some(phase) = self.phases.get(&target) {
-            self.order.insert((self.turn(*phase, now), target));
+            self.queue.insert((self.next_due(*phase, now), target));
         }
     }
 }
 
-/// Reads for ever. Times are seconds; `at_once` readings are under way at most, the others wait.
+/// Scrapes the targets forever. `period` and `timeout` are in seconds. At most `max_concurrent` scrapes run at once;
+/// the others are delayed.
 pub async fn run(
-    desk: impl ScrapeHandler,
+    handler: impl ScrapeHandler,
     period: f64,
-    patience: f64,
-    (most_bytes, at_once): (usize, usize),
+    timeout: f64,
+    (max_bytes, max_concurrent): (usize, usize),
 ) {
-    let began = Instant::now();
-    let (places, phases, order, busy) = Default::default();
-    let mut schedule = Schedule { began, period, places, phases, order, busy, turns: 0 };
-    let (mut under_way, mut version) = (FuturesUnordered::new(), None);
+    let mut schedule = Schedule::new(Instant::now(), period);
+    let (mut scrapes, mut version) = (FuturesUnordered::new(), None);
     loop {
         let now = Instant::now();
-        if version != Some(desk.targets_version()) {
-            version = Some(desk.targets_version());
-            schedule.follow(desk.targets(), now);
+        if version != Some(handler.targets_version()) {
+            version = Some(handler.targets_version());
+            schedule.set_targets(handler.targets(), now);
         }
-        while schedule.busy.len() < at_once {
-            let Some((target, place)) = schedule.start(now) else { break };
-            under_way.push(async move {
-                let asked = Instant::now();
-                let got = fetch::get::<fetch::Shared>(&place, None, patience, most_bytes).await;
-                let text = match got {
-                    Ok(answer) if answer.status == 200 => Exposition::parse(&answer.body),
-                    Ok(answer) => Err(format!("status {}", answer.status)),
+        while schedule.in_progress.len() < max_concurrent {
+            let Some((target, place)) = schedule.pop_due(now) else { break };
+            scrapes.push(async move {
+                let started = Instant::now();
+                let response = fetch::get::<fetch::Shared>(&place, None, timeout, max_bytes).await;
+                let result = match response {
+                    Ok(response) if response.status == 200 => Exposition::parse(&response.body),
+                    Ok(response) => Err(format!("status {}", response.status)),
                     Err(e) => Err(e.to_string()),
                 };
-                (target, asked, text)
+                (target, started, result)
             });
         }
-        // New targets are looked for now and then even where nothing is due.
+        // Wakes up several times per period even if no target is due, to notice new targets.
         let latest = now + Duration::from_secs_f64(period / 4.0);
-        let next = schedule.order.first().filter(|_| schedule.busy.len() < at_once);
-        let next = next.map_or(latest, |(at, _)| (*at).min(latest));
+        let next = schedule.queue.first().filter(|_| schedule.in_progress.len() < max_concurrent);
+        let next = next.map_or(latest, |(due, _)| (*due).min(latest));
         let timer = async {
             Timer::at(next).await;
             None
         };
-        let done = async {
-            match under_way.next().await {
+        let finished = async {
+            match scrapes.next().await {
                 None => future::pending().await,
-                found => found,
+                scrape => scrape,
             }
         };
-        if let Some((target, asked, text)) = future::or(done, timer).await {
-            schedule.end(target, Instant::now());
-            desk.scraped(target, asked, text);
+        if let Some((target, started, result)) = future::or(finished, timer).await {
+            schedule.finish(target, Instant::now());
+            handler.scraped(target, started, result);
         }
     }
 }
