--- a/pilot/src/clock.rs
+++ b/pilot/src/clock.rs
@@ -1,32 +1,34 @@
-//! The pilot's own clock: seconds that nothing steps.
+//! A monotonic clock that counts in seconds and never jumps.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
+    started: Instant,
+    /// The clock's reading at `started`, s.
     start: f64,
 }
 
 impl Clock {
-    /// Begins now, at a given time, s.
+    /// A clock that reads `start` seconds now.
     pub fn starting_at(start: f64) -> Self {
-        Clock { began: Instant::now(), start }
+        Clock { started: Instant::now(), start }
     }
 
-    /// Begins at the present Unix time, for where other machines tell theirs. Later steps of the wall's
-    /// clock do not move it.
+    /// A clock that reads the current Unix time, so that its readings compare with timestamps of other
+    /// machines. Later adjustments of the system clock do not affect it.
     pub fn unix() -> Self {
         Clock::starting_at(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |t| t.as_secs_f64()))
     }
 
-    pub fn at(&self, moment: Instant) -> f64 {
-        self.start + moment.saturating_duration_since(self.began).as_secs_f64()
+    /// The clock's reading at an instant.
+    pub fn at(&self, instant: Instant) -> f64 {
+        self.start + instant.saturating_duration_since(self.started).as_secs_f64()
     }
 
-    /// Seconds since it began.
-    pub fn age(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+    /// Seconds since the clock was created.
+    pub fn elapsed(&self) -> f64 {
+        self.started.elapsed().as_secs_f64()
     }
 
     pub fn now(&self) -> f64 {
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -1,7 +1,7 @@
-//! Commands to a running pilot: HTTP over a Unix socket that only its own user may use.
+//! Commands to a running pilot, sent as HTTP over a Unix socket that only the pilot's own user can open.
 
-use crate::guarding;
-use crate::pages::{self, Page};
+use crate::guard_review;
+use crate::pages::{self, HttpResponse};
 use crate::serve::Pilot;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -23,26 +23,26 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Every table: its version, the version it is frozen at, and those that are kept.
+    /// List all tables: current version, version frozen at, and versions kept.
     List,
-    /// The lines of a version.
+    /// Show the lines of one version.
     Show { table: u16, version: u64 },
-    /// What differs between two versions.
+    /// Show the lines that differ between two versions.
     Diff { table: u16, from: u64, to: u64 },
-    /// Freeze a table at an old version; drains and cold limits go on above it.
+    /// Freeze a table at an old version; drains and the limits of cold servers still apply to it.
     Rollback { table: u16, version: u64 },
-    /// Freeze a table at lines written by hand: a JSON object of weights by `address:port`.
+    /// Freeze a table at lines from a file: a JSON object of weights by `address:port`.
     Lay { table: u16, lines: PathBuf },
     /// Let a frozen table follow the decisions again.
     Release { table: u16 },
 }
 
-/// Method, path and body of a request.
-pub type Message = (&'static str, String, String);
+/// Method, path and body of an HTTP request.
+pub type HttpRequest = (&'static str, String, String);
 
 impl Command {
-    /// Method, path and body. Errors: a file that can't be read.
-    pub fn request(&self) -> Result<Message, String> {
+    /// The HTTP request for this command. Fails if the file with the lines can't be read.
+    pub fn request(&self) -> Result<HttpRequest, String> {
         let mut body = String::new();
         let (method, path) = match self {
             Command::Lay { table, lines } => {
@@ -59,54 +59,56 @@
     }
 }
 
-/// What the guard is asked or told.
+/// Commands to the guard of a running pilot.
 #[derive(Debug, Subcommand)]
-pub enum Word {
-    /// Counts, what holds for a while, and the last verdicts that were not fine.
+pub enum GuardCommand {
+    /// Show counts, overrides and pins in force, and the last verdicts other than "fine".
     Explain,
-    /// Lift a check for so many seconds, in somebody's name.
+    /// Lift a check for a number of seconds, under the name of the person responsible.
     Override {
         #[arg(value_parser = check)]
         check: Check,
         by: String,
         seconds: f64,
     },
-    /// Hold a server's part of every table that names it between two figures, for so many seconds.
+    /// Keep a server's share of every table that lists it between two fractions, for a number of seconds.
     Pin { server: SocketAddrV4, least: f64, most: f64, seconds: f64 },
 }
 
-/// A check by its name.
-fn check(text: &str) -> Result<Check, String> {
-    serde_json::from_value(Value::from(text)).map_err(|e| e.to_string())
+/// Parses the name of a check.
+fn check(name: &str) -> Result<Check, String> {
+    serde_json::from_value(Value::from(name)).map_err(|e| e.to_string())
 }
 
-/// s; a word holds no longer, as nobody remembers it then.
-const LONGEST_WORD: f64 = 86_400.0;
-/// Words that hold at once, of each kind.
-const WORDS: usize = 64;
+/// Longest duration of an override or a pin, in seconds. A longer one would outlive the operator's memory of it.
+const MAX_GUARD_COMMAND_SECONDS: f64 = 86_400.0;
+/// Overrides in force at the same time, and likewise pins.
+const MAX_GUARD_COMMANDS: usize = 64;
 
-impl Word {
-    pub fn request(&self) -> Message {
+impl GuardCommand {
+    pub fn request(&self) -> HttpRequest {
         let (method, path) = match self {
-            Word::Explain => ("GET", "/guard".to_string()),
-            Word::Override { check, by, seconds } => {
+            GuardCommand::Explain => ("GET", "/guard".to_string()),
+            GuardCommand::Override { check, by, seconds } => {
                 ("POST", format!("/guard/override/{}/{by}/{seconds}", check.name()))
             }
-            Word::Pin { server, least, most, seconds } => {
+            GuardCommand::Pin { server, least, most, seconds } => {
                 ("POST", format!("/guard/pin/{server}/{least}/{most}/{seconds}"))
             }
         };
         (method, path, String::new())
     }
 
-    fn read(method: &Method, parts: &[&str]) -> Option<Word> {
+    fn parse(method: &Method, parts: &[&str]) -> Option<GuardCommand> {
         let number = |text: &&str| text.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
         Some(match (method, parts) {
-            (&Method::GET, ["guard"]) => Word::Explain,
-            (&Method::POST, ["guard", "override", name, by, seconds]) => {
-                Word::Override { check: check(name).ok()?, by: by.to_string(), seconds: number(seconds)? }
-            }
-            (&Method::POST, ["guard", "pin", server, least, most, seconds]) => Word::Pin {
+            (&Method::GET, ["guard"]) => GuardCommand::Explain,
+            (&Method::POST, ["guard", "override", name, by, seconds]) => GuardCommand::Override {
+                check: check(name).ok()?,
+                by: by.to_string(),
+                seconds: number(seconds)?,
+            },
+            (&Method::POST, ["guard", "pin", server, least, most, seconds]) => GuardCommand::Pin {
                 server: server.parse().ok()?,
                 least: number(least)?,
                 most: number(most)?,
@@ -117,68 +119,71 @@
     }
 }
 
-/// The request that gives a zone's servers another price.
-pub fn price(text: &str) -> Result<Message, String> {
-    let told = || format!("{text:?}: expected ZONE=PRICE");
-    let (zone, price) = text.split_once('=').ok_or_else(told)?;
-    let price: f64 = price.parse().map_err(|_| told())?;
+/// The request that sets the price of a zone's servers, from a `ZONE=PRICE` argument.
+pub fn price_request(argument: &str) -> Result<HttpRequest, String> {
+    let invalid = || format!("{argument:?}: expected ZONE=PRICE");
+    let (zone, price) = argument.split_once('=').ok_or_else(invalid)?;
+    let price: f64 = price.parse().map_err(|_| invalid())?;
     Ok(("POST", format!("/prices/{zone}/{price}"), String::new()))
 }
 
-fn reprice(pilot: &Pilot, zone: &str, price: &str) -> Result<Value, String> {
+fn set_zone_price(pilot: &Pilot, zone: &str, price: &str) -> Result<Value, String> {
     let mut core = pilot.core.borrow_mut();
     let price = price.parse::<f64>().ok().filter(|price| price.is_finite() && *price >= 0.0);
-    let price = price.ok_or("a price is a number of 0 or more")?;
-    let place = core.settings.zone(zone).ok_or_else(|| format!("{zone:?} is no zone of the settings"))?;
+    let price = price.ok_or("a price must be a number of 0 or more")?;
+    let index = core.settings.zone(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
     let planning = core.planning.as_mut().ok_or("the settings have no /costs")?;
-    planning.planner.reprice(usize::from(place), price);
-    tracing::warn!(zone, price, "a price was changed by hand");
+    planning.planner.reprice(usize::from(index), price);
+    tracing::warn!(zone, price, "zone price changed by command");
     Ok(json!({"zone": zone, "price": price}))
 }
 
-fn say(pilot: &Pilot, word: &Word) -> Result<Value, String> {
+fn execute_guard(pilot: &Pilot, command: &GuardCommand) -> Result<Value, String> {
     let mut core = pilot.core.borrow_mut();
     let now = core.now();
-    let guard = &mut core.guarding.as_mut().ok_or("the settings have no /guard")?.guard;
+    let guard = &mut core.guard_review.as_mut().ok_or("the settings have no /guard")?.guard;
     guard.expire(now);
-    let (held, seconds) = match word {
-        Word::Explain => return Ok(guarding::explain(guard, now)),
-        Word::Override { seconds, .. } => (guard.overrides.len(), *seconds),
-        Word::Pin { least, most, .. } if least > most || *most > 1.0 => {
-            return Err("a pin is two parts of 1, the lower one first".to_string())
+    let (in_force, seconds) = match command {
+        GuardCommand::Explain => return Ok(guard_review::explain(guard, now)),
+        GuardCommand::Override { seconds, .. } => (guard.overrides.len(), *seconds),
+        GuardCommand::Pin { least, most, .. } if least > most || *most > 1.0 => {
+            return Err("a pin takes two fractions from 0 to 1, the lower one first".to_string())
         }
-        Word::Pin { seconds, .. } => (guard.pins.len(), *seconds),
+        GuardCommand::Pin { seconds, .. } => (guard.pins.len(), *seconds),
     };
-    if seconds > LONGEST_WORD || held >= WORDS {
-        return Err(format!("{WORDS} at once at most, each for {LONGEST_WORD} s at most"));
+    if seconds > MAX_GUARD_COMMAND_SECONDS || in_force >= MAX_GUARD_COMMANDS {
+        return Err(format!(
+            "at most {MAX_GUARD_COMMANDS} may be in force, each for at most {MAX_GUARD_COMMAND_SECONDS} s"
+        ));
     }
     let until = now + seconds;
-    match word {
-        Word::Override { check, by, .. } => {
+    match command {
+        GuardCommand::Override { check, by, .. } => {
             guard.overrides.push(Override { check: *check, by: by.clone(), until });
         }
-        Word::Pin { server, least, most, .. } => {
+        GuardCommand::Pin { server, least, most, .. } => {
             let server = Address { host: server.ip().octets(), port: server.port() };
             guard.pins.retain(|pin| pin.server != server);
             guard.pins.push(Pin { server, least: *least, most: *most, until });
         }
-        Word::Explain => {}
+        GuardCommand::Explain => {}
     }
-    tracing::warn!(?word, "the guard was told");
-    Ok(guarding::explain(guard, now))
+    tracing::warn!(word = ?command, "guard command executed");
+    Ok(guard_review::explain(guard, now))
 }
 
-/// Sends a request and prints the answer. Errors: nobody is there, or the pilot refuses, with its reason.
-pub fn tell(socket: &Path, (method, path, body): Message) -> Result<(), String> {
-    let told = |e: io::Error| format!("{}: {e}", socket.display());
-    let mut stream = UnixStream::connect(socket).map_err(told)?;
-    stream.set_read_timeout(Some(Duration::from_secs(10))).map_err(told)?;
+/// Sends a request to a pilot's control socket and prints the response. Fails if no pilot listens there, or
+/// with the pilot's message if it refuses the command.
+pub fn send(socket: &Path, (method, path, body): HttpRequest) -> Result<(), String> {
+    let with_path = |e: io::Error| format!("{}: {e}", socket.display());
+    let mut stream = UnixStream::connect(socket).map_err(with_path)?;
+    stream.set_read_timeout(Some(Duration::from_secs(10))).map_err(with_path)?;
     let length = body.len();
     let head = format!("host: pilot\r\nconnection: close\r\ncontent-length: {length}");
-    write!(stream, "{method} {path} HTTP/1.1\r\n{head}\r\n\r\n{body}").map_err(told)?;
+    write!(stream, "{method} {path} HTTP/1.1\r\n{head}\r\n\r\n{body}").map_err(with_path)?;
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).map_err(told)?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or("the answer was cut off")?;
+    stream.read_to_string(&mut answer).map_err(with_path)?;
+    let (head, body) = answer.split_once("\r\n\r\n").ok_or("the response ends before its body")?;
     if head.split(' ').nth(1) != Some("200") {
         return Err(body.trim_end().to_string());
     }
@@ -187,21 +192,21 @@
     Ok(())
 }
 
-/// Takes the socket's place. A file that nobody listens at is left from a pilot that was killed.
+/// Listens on a Unix socket. Replaces a socket file without a listener, which a killed pilot leaves behind.
 pub fn bind(path: &str) -> Result<UnixListener, String> {
-    let told = |e: io::Error| format!("/control/socket: {path}: {e}");
+    let with_path = |e: io::Error| format!("/control/socket: {path}: {e}");
     if UnixStream::connect(path).is_ok() {
         return Err(format!("/control/socket: {path}: another pilot listens there"));
     }
     match std::fs::symlink_metadata(path) {
         Ok(found) if std::os::unix::fs::FileTypeExt::is_socket(&found.file_type()) => {
-            std::fs::remove_file(path).map_err(told)?;
+            std::fs::remove_file(path).map_err(with_path)?;
         }
-        Ok(_) => return Err(format!("/control/socket: {path}: something else is there")),
+        Ok(_) => return Err(format!("/control/socket: {path}: exists and is not a socket")),
         Err(_) => {}
     }
-    let listener = UnixListener::bind(path).map_err(told)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(told)?;
+    let listener = UnixListener::bind(path).map_err(with_path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(with_path)?;
     Ok(listener)
 }
 
@@ -212,11 +217,11 @@
 ) -> io::Result<()> {
     let socket = Async::<UnixListener>::try_from(socket)?;
     let accept = async || socket.accept().await.map(|(stream, _)| stream);
-    pages::serve(accept, move |request, body| page(&pilot, request, body), executor).await;
+    pages::serve(accept, move |request, body| handle(&pilot, request, body), executor).await;
     Ok(())
 }
 
-fn page(pilot: &Pilot, request: &Parts, body: &[u8]) -> Page {
+fn handle(pilot: &Pilot, request: &Parts, body: &[u8]) -> HttpResponse {
     let path = request.uri.path().trim_start_matches('/');
     let parts: Vec<&str> = path.split('/').collect();
     let method = &request.method;
@@ -225,27 +230,26 @@
         let now = core.now();
         let server = server.parse::<SocketAddrV4>().map_err(|e| format!("{server}: {e}"));
         let server = server.map(|server| Address { host: server.ip().octets(), port: server.port() });
-        return told(server.and_then(|server| core.handing.holders(&server, now)));
+        return response(server.and_then(|server| core.dns_answers.holders(&server, now)));
     }
     if let (&Method::POST, ["prices", zone, price]) = (method, &parts[..]) {
-        return told(reprice(pilot, zone, price));
+        return response(set_zone_price(pilot, zone, price));
     }
-    let answer = match (command(method, &parts), Word::read(method, &parts)) {
-        (Some(command), _) => act(pilot, &command, body),
-        (_, Some(word)) => say(pilot, &word),
-        (None, None) => Err("no such command".to_string()),
-    };
-    told(answer)
+    response(match (parse_command(method, &parts), GuardCommand::parse(method, &parts)) {
+        (Some(command), _) => execute(pilot, &command, body),
+        (_, Some(command)) => execute_guard(pilot, &command),
+        (None, None) => Err(format!("unknown command: {method} /{path}")),
+    })
 }
 
-fn told(answer: Result<Value, String>) -> Page {
-    match answer {
-        Ok(value) => pages::answer(StatusCode::OK, "application/json", value.to_string()),
-        Err(what) => pages::answer(StatusCode::BAD_REQUEST, "text/plain", what),
+fn response(result: Result<Value, String>) -> HttpResponse {
+    match result {
+        Ok(value) => pages::response(StatusCode::OK, "application/json", value.to_string()),
+        Err(error) => pages::response(StatusCode::BAD_REQUEST, "text/plain", error),
     }
 }
 
-fn command(method: &Method, parts: &[&str]) -> Option<Command> {
+fn parse_command(method: &Method, parts: &[&str]) -> Option<Command> {
     let number = |text: &&str| text.parse::<u64>().ok();
     let table = |text: &&str| text.parse::<u16>().ok();
     Some(match (method, parts) {
@@ -259,24 +263,24 @@
         (&Method::POST, ["tables", t, "rollback", version]) => {
             Command::Rollback { table: table(t)?, version: number(version)? }
         }
-        // The lines are in the body.
+        // The request body holds the lines.
         (&Method::POST, ["tables", t, "lay"]) => Command::Lay { table: table(t)?, lines: PathBuf::new() },
         (&Method::POST, ["tables", t, "release"]) => Command::Release { table: table(t)? },
         _ => return None,
     })
 }
 
-/// Lines written by hand. Errors: they are none.
-fn written(body: &[u8]) -> Result<Lines, String> {
-    let written: BTreeMap<SocketAddrV4, f64> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if let Some((server, weight)) = written.iter().find(|(_, weight)| **weight < 0.0) {
-        return Err(format!("{server}: a weight of {weight}"));
+/// Parses table lines: a JSON object of weights by `address:port`.
+fn parse_lines(body: &[u8]) -> Result<Lines, String> {
+    let weights: BTreeMap<SocketAddrV4, f64> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+    if let Some((server, weight)) = weights.iter().find(|(_, weight)| **weight < 0.0) {
+        return Err(format!("{server}: the weight {weight} is negative"));
     }
     let address = |host: SocketAddrV4| Address { host: host.ip().octets(), port: host.port() };
-    Ok(written.into_iter().map(|(host, weight)| (address(host), weight)).collect())
+    Ok(weights.into_iter().map(|(host, weight)| (address(host), weight)).collect())
 }
 
-fn act(pilot: &Pilot, command: &Command, body: &[u8]) -> Result<Value, String> {
+fn execute(pilot: &Pilot, command: &Command, body: &[u8]) -> Result<Value, String> {
     let mut core = pilot.core.borrow_mut();
     let now = core.now();
     let find = |table: u16, version: u64| -> Result<Kept, String> {
@@ -309,17 +313,19 @@
             return Ok(Value::Object(lines.collect()));
         }
         Command::Rollback { table, version } => {
-            core.by_hand(|tables, review| tables.roll_back(*table, *version, now, review))
+            core.change_tables(|tables, review| tables.roll_back(*table, *version, now, review))
         }
         Command::Lay { table, .. } => {
-            let lines = written(body)?;
-            core.by_hand(|tables, review| tables.freeze(*table, lines, now, review))
+            let lines = parse_lines(body)?;
+            core.change_tables(|tables, review| tables.freeze(*table, lines, now, review))
+        }
+        Command::Release { table } => {
+            core.change_tables(|tables, review| tables.release(*table, now, review))
         }
-        Command::Release { table } => core.by_hand(|tables, review| tables.release(*table, now, review)),
     };
     let changed = changed.map_err(|refusal| refusal.to_string())?;
     drop(core);
-    tracing::warn!(?command, version = changed, "tables changed by hand");
-    pilot.changed.notify(usize::MAX);
+    tracing::warn!(?command, version = changed, "tables changed by command");
+    pilot.tables_changed.notify(usize::MAX);
     Ok(json!({"version": changed}))
 }
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -1,9 +1,9 @@
-//! The pilot without its sockets: what came in is gathered into a round, the decisions are called, and
-//! what they order goes to the tables. Times are seconds on the pilot's own clock, which nothing steps.
+//! The pilot without its sockets: collects input into a round, runs the decisions on it, and applies their
+//! actions to the tables. Times are seconds on the pilot's monotonic clock.
 
 use crate::clock::Clock;
-use crate::guarding::Guarding;
-use crate::handing::Handing;
+use crate::dns_answers::DnsAnswers;
+use crate::guard_review::GuardReview;
 use crate::planning::Planning;
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
@@ -21,32 +21,34 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Changes of tables kept for people to ask about.
+/// Table changes kept for `/changes`.
 const HISTORY: usize = 2000;
 
-/// What the pilot met since its start.
+/// Counters since the start of the pilot.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub rounds: u64,
-    /// s spent deciding, in all and in the longest round.
-    pub deciding: f64,
+    /// Seconds spent in rounds, in total and in the longest one.
+    pub decision_seconds: f64,
     pub longest_round: f64,
+    /// Results of reading the list of servers, by kind.
     pub lists: BTreeMap<&'static str, u64>,
-    pub readings: u64,
-    pub readings_missed: u64,
-    /// Readings that measured nothing: the first of a target, or its counters had been reset.
-    pub readings_anew: u64,
+    pub scrapes: u64,
+    pub failed_scrapes: u64,
+    /// Scrapes that only set a baseline: the first of a target, or the first after its counters were reset.
+    pub baseline_scrapes: u64,
     pub checks: u64,
 }
 
+/// State of the pilot: the decisions, the tables, and everything that feeds them.
 pub struct Core {
     pub settings: Settings,
     clock: Clock,
     balancer: Balancer,
     pub tables: Tables,
-    pub guarding: Option<Guarding>,
+    pub guard_review: Option<GuardReview>,
     pub planning: Option<Planning>,
-    pub handing: Handing,
+    pub dns_answers: DnsAnswers,
     pub presence: Presence,
     pub book: Book,
     pub sums: Sums,
@@ -56,16 +58,17 @@
     round: Round,
     timers: Timers,
     flush_at: f64,
-    /// Servers to check, and those being checked.
+    /// Servers whose health checks are to be started, and those whose checks are under way.
     pub to_check: Vec<Address>,
     checking: BTreeSet<Address>,
-    /// Counts changes of who is to be read.
+    /// Incremented when the set of scrape targets may have changed.
     pub targets_version: u64,
-    pub list_heard: Option<f64>,
-    pub list_trouble: Option<String>,
+    pub list_received_at: Option<f64>,
+    pub list_error: Option<String>,
     pub counts: Counts,
 }
 
+/// The askers' address prefixes from the settings.
 fn prefixes(settings: &Settings) -> Prefixes {
     let mut prefixes = Prefixes::default();
     for (place, asker) in settings.askers.iter().enumerate() {
@@ -92,9 +95,9 @@
             _ => Kind::Group,
         };
         let kinds: Vec<Kind> = settings.askers.iter().map(kind).collect();
-        // Of groups without counters of their own, some may always hold an answer.
-        let lasting = owners.iter().zip(&kinds).map(|(o, kind)| !o.counted && *kind != Kind::Stream);
-        let groups: Vec<bool> = lasting.collect();
+        // A group without counters of its own never counts as away: some member may still hold an answer.
+        let always_up = owners.iter().zip(&kinds).map(|(o, kind)| !o.counted && *kind != Kind::Stream);
+        let always_up: Vec<bool> = always_up.collect();
         let classes = settings.classes.len();
         let pull = Pull::new(&kinds, classes, settings.longest_hold(), now);
         let names = settings.classes.iter().map(|c| c.name.clone()).collect();
@@ -108,10 +111,10 @@
                 seed,
             ),
             tables: Tables::new(settings.askers.len(), classes, pull, HISTORY),
-            guarding: Guarding::new(&settings),
+            guard_review: GuardReview::new(&settings),
             planning: Planning::new(&settings),
-            handing: Handing::new(&settings, seed, now),
-            presence: Presence::new(&groups, settings.status.away_after),
+            dns_answers: DnsAnswers::new(&settings, seed, now),
+            presence: Presence::new(&always_up, settings.status.away_after),
             book: Book::default(),
             sums: Sums::new(settings.reports.period, names),
             counters: BTreeMap::new(),
@@ -123,8 +126,8 @@
             to_check: Vec::new(),
             checking: BTreeSet::new(),
             targets_version: 0,
-            list_heard: None,
-            list_trouble: None,
+            list_received_at: None,
+            list_error: None,
             counts: Counts::default(),
             settings,
         };
@@ -133,16 +136,11 @@
         }
         let up: Vec<u16> = core.presence.up().collect();
         for asker in up {
-            core.stream(asker, true);
+            core.push_stream(asker, true);
         }
         core
     }
 
-    /// Seconds on the pilot's clock.
-    pub fn clock(&self, at: Instant) -> f64 {
-        self.clock.at(at)
-    }
-
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
@@ -151,29 +149,30 @@
         self.owners.get(usize::from(asker)).map_or(0, |owner| owner.zone)
     }
 
-    fn stream(&mut self, asker: u16, up: bool) {
+    /// Adds to the round that an asker came up or went away.
+    fn push_stream(&mut self, asker: u16, up: bool) {
         let rate = self.settings.askers[usize::from(asker)].usual_rate;
         self.round.streams.push(Stream { proxy: asker, up, zone: self.zone_of(asker), rate });
     }
 
-    /// A heartbeat. True where a round is due at once, as the asker holds no table yet.
-    fn sign(&mut self, asker: u16, now: f64) -> bool {
-        let came = self.presence.sign(asker, now);
-        if came {
-            tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is there");
-            self.stream(asker, true);
+    /// Records that an asker is alive. True if the asker came up, so that a round has to bind it to a table.
+    fn record_activity(&mut self, asker: u16, now: f64) -> bool {
+        let came_up = self.presence.sign(asker, now);
+        if came_up {
+            tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is up");
+            self.push_stream(asker, true);
         }
-        came
+        came_up
     }
 
-    /// A stream came up, or broke.
-    pub fn hold_stream(&mut self, asker: u16, up: bool) {
+    /// Takes in that an asker's stream was opened or closed, and runs a round.
+    pub fn set_stream(&mut self, asker: u16, up: bool) {
         if !self.presence.set(asker, up) {
             return;
         }
         let name = &self.settings.askers[usize::from(asker)].name;
-        tracing::info!(asker = %name, up, "stream");
-        self.stream(asker, up);
+        tracing::info!(asker = %name, up, "stream changed");
+        self.push_stream(asker, up);
         if !up {
             self.tables.leave(asker);
         }
@@ -181,8 +180,8 @@
         self.step(now);
     }
 
-    /// A load report of an asker on a stream.
-    pub fn load(&mut self, asker: u16, loads: Vec<Load>) {
+    /// Takes in a load report from an asker's stream.
+    pub fn record_loads(&mut self, asker: u16, loads: Vec<Load>) {
         let owner = self.owners[usize::from(asker)];
         for load in loads {
             self.sums.stated(owner, &load.cluster, load.came, load.span);
@@ -195,38 +194,38 @@
         }
     }
 
-    fn list(&mut self, kind: &'static str, list: List) {
+    fn push_list(&mut self, kind: &'static str, list: List) {
         *self.counts.lists.entry(kind).or_default() += 1;
         self.targets_version += 1;
         self.round.lists.push(list);
     }
 
-    /// The list kept from the last run. Errors: it is none; the pilot starts without.
+    /// Takes up the list of servers cached by the last run. Fails if it can't be parsed.
     pub fn restore(&mut self, text: &str, now: f64) -> Result<(), String> {
         let list = self.book.restore(text, self.settings.zones.len(), now, Moment::now())?;
-        self.list("cached", list);
+        self.push_list("cached", list);
         Ok(())
     }
 
-    /// A reading of the roster. True where there is a list worth keeping for the next start.
-    pub fn roster(&mut self, read: Result<(Document, Option<f64>), String>, now: f64) -> bool {
-        match read {
+    /// Takes in the result of reading the list of servers. True if the list is complete and has changed, so that
+    /// it should be cached for the next start.
+    pub fn take_list(&mut self, result: Result<(Document, Option<f64>), String>, now: f64) -> bool {
+        match result {
             Err(what) => {
-                if self.list_trouble.as_ref() != Some(&what) {
-                    tracing::warn!(%what, "no list of servers");
+                if self.list_error.as_ref() != Some(&what) {
+                    tracing::warn!(%what, "reading the list of servers failed");
                 }
-                self.list_trouble = Some(what);
-                self.list("failed", List { news: ListNews::Failed, entries: Vec::new() });
+                self.list_error = Some(what);
+                self.push_list("failed", List { news: ListNews::Failed, entries: Vec::new() });
                 false
             }
             Ok((document, clock)) => {
-                let trouble = (!document.mistakes.is_empty()).then(|| document.mistakes.join("; "));
-                if let Some(what) = trouble.as_ref().filter(|what| self.list_trouble.as_ref() != Some(*what))
-                {
-                    tracing::warn!(%what, "list of servers read in part");
+                let error = (!document.mistakes.is_empty()).then(|| document.mistakes.join("; "));
+                if let Some(what) = error.as_ref().filter(|what| self.list_error.as_ref() != Some(*what)) {
+                    tracing::warn!(%what, "invalid entries in the list of servers");
                 }
-                self.list_trouble = trouble;
-                self.list_heard = Some(now);
+                self.list_error = error;
+                self.list_received_at = Some(now);
                 let before = self.book.members().len();
                 let Taken { list, changed } = self.book.take(&document, now, clock);
                 if changed {
@@ -237,27 +236,26 @@
                     (_, true) => "empty",
                     _ => "whole",
                 };
-                let worth = changed && kind == "whole";
-                self.list(kind, list);
-                worth
+                self.push_list(kind, list);
+                changed && kind == "whole"
             }
         }
     }
 
-    /// A reading of a target's counters, asked for at a moment.
-    pub fn reading(&mut self, target: Target, asked: Instant, text: Result<Text, String>) {
-        let at = self.clock(asked);
+    /// Takes in the result of a scrape that was started at `requested_at`.
+    pub fn take_scrape(&mut self, target: Target, requested_at: Instant, text: Result<Text, String>) {
+        let at = self.clock.at(requested_at);
         let text = match text {
             Ok(text) => text,
             Err(what) => {
-                self.counts.readings_missed += 1;
-                tracing::debug!(?target, %what, "reading missed");
+                self.counts.failed_scrapes += 1;
+                tracing::debug!(?target, %what, "scrape failed");
                 return;
             }
         };
-        self.counts.readings += 1;
+        self.counts.scrapes += 1;
         if let Target::Asker(asker) = target {
-            self.sign(asker, at);
+            self.record_activity(asker, at);
         }
         if let Target::Server(server) = target {
             let in_flight = text.samples.iter().find(|sample| sample.name == "server_in_flight");
@@ -266,7 +264,7 @@
             }
         }
         let Some(gain) = self.counters.entry(target).or_default().take(&text, at) else {
-            self.counts.readings_anew += 1;
+            self.counts.baseline_scrapes += 1;
             return;
         };
         match target {
@@ -282,29 +280,30 @@
         }
     }
 
-    /// Forgets what targets gave that are read no more: server addresses come and go for as long as a pilot
-    /// lives, and each would leave its counters behind.
-    pub fn read_only(&mut self, targets: &BTreeMap<Target, oatlever_fetch::Place>) {
+    /// Drops the counters of targets that are no longer scraped. Server addresses come and go while the pilot
+    /// runs, so keeping them would leak memory.
+    pub fn retain_targets(&mut self, targets: &BTreeMap<Target, oatlever_fetch::Place>) {
         self.counters.retain(|target, _| targets.contains_key(target));
         let book = &self.book;
         self.sums.in_flight.retain(|server, _| book.known(server).is_some());
     }
 
-    pub fn checked(&mut self, server: Address, fine: bool) {
+    /// Takes in the result of a health check.
+    pub fn record_check(&mut self, server: Address, fine: bool) {
         self.checking.remove(&server);
         self.round.health.push(HealthAnswer { server, fine });
     }
 
-    /// Whether something came in that a round should take up now.
-    pub fn has_news(&self) -> bool {
+    /// Whether there is input that a round should process now.
+    pub fn has_input(&self) -> bool {
         !(self.round.lists.is_empty() && self.round.streams.is_empty() && self.round.health.is_empty())
     }
 
-    /// Takes up what is due by now and calls the decisions. Returns whether there was anything to do.
+    /// Runs a round if there is input or something is due. Returns whether it ran one.
     pub fn step(&mut self, now: f64) -> bool {
         for asker in self.presence.sweep(now) {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is away");
-            self.stream(asker, false);
+            self.push_stream(asker, false);
             self.tables.leave(asker);
         }
         if now >= self.flush_at {
@@ -318,40 +317,40 @@
         self.round.timers = self.timers.due(now);
         let first = self.counts.rounds == 0;
         let due = !self.round.timers.is_empty() || !self.round.tries.is_empty();
-        if !first && !due && !self.has_news() {
+        if !first && !due && !self.has_input() {
             return false;
         }
-        self.decide(now);
+        self.run_round(now);
         true
     }
 
-    fn decide(&mut self, now: f64) {
-        let begun = Instant::now();
+    fn run_round(&mut self, now: f64) {
+        let started = Instant::now();
         let mut round = std::mem::take(&mut self.round);
         round.now = now;
         round.acknowledgements = self.tables.acknowledgements(now);
         self.counts.rounds += 1;
         if self.tables.any_frozen() {
             let warm_within = self.settings.rules.warm_within;
-            let young = self.book.members().iter().filter(|(_, m)| now - m.started < warm_within);
-            self.tables.spare(young.map(|(server, _)| *server).collect());
+            let cold = self.book.members().iter().filter(|(_, m)| now - m.started < warm_within);
+            self.tables.spare(cold.map(|(server, _)| *server).collect());
         }
         if let Some(planning) = &mut self.planning {
             let zone = |asker| self.owners.get(usize::from(asker)).map_or(0, |owner: &Owner| owner.zone);
             round.plan = planning.plan(&round, &self.book, zone, &self.settings);
         }
-        self.handing.hear(&round, &mut self.sums, &self.settings);
+        self.dns_answers.observe(&round, &mut self.sums, &self.settings);
         let (version, news) = (self.tables.version(), News::of(&round));
         self.tables.open(now, self.counts.rounds, news);
         self.balancer.round(&round, &mut self.tables);
-        let actions = match &mut self.guarding {
+        let actions = match &mut self.guard_review {
             None => self.tables.close(),
-            Some(guarding) => {
-                guarding.hear(&round, &self.book, &self.tables, &self.settings);
-                self.tables.close_reviewed(&mut guarding.review(&self.settings))
+            Some(guard_review) => {
+                guard_review.observe(&round, &self.book, &self.tables, &self.settings);
+                self.tables.close_reviewed(&mut guard_review.review(&self.settings))
             }
         };
-        self.handing.spare(&self.tables, &self.book, &self.settings, now);
+        self.dns_answers.update_budgets(&self.tables, &self.book, &self.settings, now);
         for (after, number) in actions.timers {
             self.timers.set(now + after, number);
         }
@@ -372,34 +371,34 @@
                 "tables changed"
             );
         }
-        let took = begun.elapsed().as_secs_f64();
-        self.counts.deciding += took;
+        let took = started.elapsed().as_secs_f64();
+        self.counts.decision_seconds += took;
         self.counts.longest_round = self.counts.longest_round.max(took);
     }
 
-    /// Does something to tables by hand; the guard looks at what comes of it too.
-    pub fn by_hand<R>(&mut self, act: impl FnOnce(&mut Tables, &mut dyn Review) -> R) -> R {
+    /// Applies an operator's change to the tables, subject to the guard's review.
+    pub fn change_tables<R>(&mut self, change: impl FnOnce(&mut Tables, &mut dyn Review) -> R) -> R {
         let now = self.now();
-        match &mut self.guarding {
-            None => act(&mut self.tables, &mut Unreviewed),
-            Some(guarding) => {
-                guarding.state.now = now;
-                act(&mut self.tables, &mut guarding.review(&self.settings))
+        match &mut self.guard_review {
+            None => change(&mut self.tables, &mut Unreviewed),
+            Some(guard_review) => {
+                guard_review.state.now = now;
+                change(&mut self.tables, &mut guard_review.review(&self.settings))
             }
         }
     }
 
-    /// When [`Core::step`] has something to do next, if nothing comes in before.
+    /// When [`Core::step`] is next due without further input.
     pub fn next_at(&self) -> f64 {
-        let others = [self.timers.next_at(), self.presence.next_at()];
-        others.into_iter().flatten().fold(self.flush_at, f64::min)
+        let deadlines = [self.timers.next_at(), self.presence.next_at()];
+        deadlines.into_iter().flatten().fold(self.flush_at, f64::min)
     }
 }
 
 impl Desk for Core {
     fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
-        // Who asks for the first time is bound before it is answered.
-        if self.sign(asker, now) {
+        // An asker's first query runs a round, which binds the asker to a table before the answer is made.
+        if self.record_activity(asker, now) {
             self.step(now);
         }
         self.tables.hand_out(asker, class, now);
@@ -408,8 +407,8 @@
 
     fn addresses(&mut self, asker: u16, class: u16, host: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
         self.asks(asker, class, now)?;
-        let Core { handing, tables, book, settings, .. } = self;
-        handing.answer(tables, book, (asker, class, host), most, settings, now)
+        let Core { dns_answers, tables, book, settings, .. } = self;
+        dns_answers.answer(tables, book, (asker, class, host), most, settings, now)
     }
 
     fn knows(&self, host: Ipv4Addr) -> bool {
--- a/pilot/src/handing.rs
+++ b/pilot/src/dns_answers.rs
@@ -1,4 +1,5 @@
-//! The ledger between the tables and the DNS front: what it is told, and what is said of it.
+//! Chooses the servers of DNS answers: feeds the ledger of handed-out answers with reports and with the
+//! budgets of cold servers, and reports its state.
 
 use oatlever::round::{Address, Round};
 use oatlever_handout::{Answer, Handout, Lives, Who};
@@ -10,37 +11,38 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-pub struct Handing {
+/// State behind the answers of the DNS front.
+pub struct DnsAnswers {
     pub handout: Handout,
-    chance: fastrand::Rng,
-    /// Queries a second by asker and class, as last reported.
+    rng: fastrand::Rng,
+    /// Queries per second by asker and class, as last reported.
     rates: BTreeMap<(u16, u8), f64>,
-    keeps: bool,
+    has_ledger: bool,
 }
 
-impl Handing {
+impl DnsAnswers {
     pub fn new(settings: &Settings, seed: u64, start: f64) -> Self {
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let dns = &settings.dns;
         let short = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
         let lives = Lives { long: dns.lifetime, short, overstay: dns.overstay };
         let handout = match &dns.ledger {
             None => Handout::plain(lives),
-            Some(ledger) => Handout::new(lives, ledger.askers, (chance.u64(..), chance.u64(..)), start),
+            Some(ledger) => Handout::new(lives, ledger.askers, (rng.u64(..), rng.u64(..)), start),
         };
-        Handing { handout, chance, rates: BTreeMap::new(), keeps: dns.ledger.is_some() }
+        DnsAnswers { handout, rng, rates: BTreeMap::new(), has_ledger: dns.ledger.is_some() }
     }
 
-    /// Takes in what came in a round: who brought how much.
-    pub fn hear(&mut self, round: &Round, sums: &mut Sums, settings: &Settings) {
+    /// Takes in a round's reports of the queries that each client brought.
+    pub fn observe(&mut self, round: &Round, sums: &mut Sums, settings: &Settings) {
         let clients = std::mem::take(&mut sums.clients);
-        for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.keeps) {
-            // A reading waits for the round for up to a period.
+        for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.has_ledger) {
+            // A scrape may have waited for this round for up to one period.
             let since = round.now - span - settings.reports.period;
             self.handout.met(server, host, u16::from(class), (queries, span), since, round.now);
         }
-        for one in round.queries.iter().filter(|one| one.span > 0.0) {
-            self.rates.insert((one.proxy, one.class), one.came / one.span);
+        for report in round.queries.iter().filter(|report| report.span > 0.0) {
+            self.rates.insert((report.proxy, report.class), report.came / report.span);
         }
     }
 
@@ -49,25 +51,28 @@
         self.rates.get(&(asker, class)).copied().unwrap_or_else(usual)
     }
 
-    /// After the decisions: what the tables give each cold server of the queries of those who ask for addresses.
-    /// Proxies that are read or on streams weigh for themselves.
-    pub fn spare(&mut self, tables: &Tables, book: &Book, settings: &Settings, now: f64) {
-        if !self.keeps {
+    /// After the decisions: sets the query rate that answers may bring each cold server, which is its share in the
+    /// tables of the askers that resolve addresses. Proxies that are scraped or hold a stream apply weights themselves.
+    pub fn update_budgets(&mut self, tables: &Tables, book: &Book, settings: &Settings, now: f64) {
+        if !self.has_ledger {
             return;
         }
-        let young = |started: f64| started > 0.0 && now - started < settings.rules.warm_within;
-        let cold = book.members().iter().filter(|(_, member)| young(member.started));
+        let is_cold = |started: f64| started > 0.0 && now - started < settings.rules.warm_within;
+        let cold = book.members().iter().filter(|(_, member)| is_cold(member.started));
         let mut cold: BTreeMap<Address, f64> = cold.map(|(server, _)| (*server, 0.0)).collect();
         let mut rates: BTreeMap<u16, f64> = BTreeMap::new();
-        let asking =
-            settings.askers.iter().enumerate().filter(|(_, a)| a.metrics.is_none() && a.node.is_none());
-        for (asker, one) in asking.filter(|_| !cold.is_empty()) {
-            if let Some(table) = tables.bound(asker as u16) {
-                // The usual rate is of all classes together: counted for each, cold servers would be given several
-                // times their part until the first report.
-                let heard =
-                    self.rates.range((asker as u16, 0)..=(asker as u16, u8::MAX)).map(|(_, rate)| *rate);
-                *rates.entry(table).or_default() += heard.reduce(|a, b| a + b).unwrap_or(one.usual_rate);
+        let resolving = settings
+            .askers
+            .iter()
+            .enumerate()
+            .filter(|(_, asker)| asker.metrics.is_none() && asker.node.is_none());
+        for (place, asker) in resolving.filter(|_| !cold.is_empty()) {
+            let place = place as u16;
+            if let Some(table) = tables.bound(place) {
+                // The usual rate covers all classes together. Adding it once per class would give cold servers
+                // several times their share until the first report.
+                let reported = self.rates.range((place, 0)..=(place, u8::MAX)).map(|(_, rate)| *rate);
+                *rates.entry(table).or_default() += reported.reduce(|a, b| a + b).unwrap_or(asker.usual_rate);
             }
         }
         for (table, _, index, _) in tables.all() {
@@ -81,7 +86,7 @@
         self.handout.spare(cold, now);
     }
 
-    /// The answer to a host of an asker; none where it holds no table.
+    /// The answer for a host of an asker, or `None` if the asker holds no table.
     pub fn answer(
         &mut self,
         tables: &Tables,
@@ -94,14 +99,14 @@
         let view = tables.held(asker, class)?;
         let who = Who { host, class, group: self.rate(asker, class as u8, settings) };
         let zone = |server: &Address| book.known(server).map(|member| member.zone);
-        let chance = &mut self.chance;
-        let none = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
-        Some(self.handout.answer(&view, who, most, zone, now, || chance.f64()).unwrap_or_else(none))
+        let rng = &mut self.rng;
+        let empty = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
+        Some(self.handout.answer(&view, who, most, zone, now, || rng.f64()).unwrap_or_else(empty))
     }
 
-    /// Who holds a server, as far as the ledger tells.
+    /// The load that unexpired answers may still bring a server, from the ledger, as JSON.
     pub fn holders(&mut self, server: &Address, now: f64) -> Result<Value, String> {
-        if !self.keeps {
+        if !self.has_ledger {
             return Err("the settings have no /dns/ledger".to_string());
         }
         let ledger = &mut self.handout.ledger;
--- a/pilot/src/guarding.rs
+++ b/pilot/src/guard_review.rs
@@ -1,4 +1,5 @@
-//! The guard between what was decided and the fronts: what it is told, and what is said of its verdicts.
+//! Runs the guard on tables before they are published: feeds it with reports and the list of servers, and
+//! logs and reports its verdicts.
 
 use oatlever::round::{Address, Readiness, Round};
 use oatlever_guard::{
@@ -10,25 +11,26 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub struct Guarding {
+/// The guard of a pilot and its inputs.
+pub struct GuardReview {
     pub guard: Guard,
     evidence: Evidence,
     holders: Holders,
     pub state: State,
-    /// What was last said of each table, so that the same is not said in every round.
-    said: BTreeMap<u16, Verdict>,
+    /// The verdict last logged for each table, so that an unchanged one is not logged in every round.
+    reported: BTreeMap<u16, Verdict>,
 }
 
-/// One round's review.
-pub struct Reviewer<'a> {
-    of: &'a mut Guarding,
+/// The review of one round's tables.
+pub struct RoundReview<'a> {
+    parent: &'a mut GuardReview,
     settings: &'a Settings,
 }
 
-impl Guarding {
+impl GuardReview {
     pub fn new(settings: &Settings) -> Option<Self> {
-        let set = settings.guard.as_ref()?;
-        let guard = Guard::new(set.figures.clone(), set.mode, settings.longest_use());
+        let guard = settings.guard.as_ref()?;
+        let guard = Guard::new(guard.figures.clone(), guard.mode, settings.longest_use());
         let state = State {
             cold_share: settings.rules.cold_share,
             warm_within: settings.rules.warm_within,
@@ -37,11 +39,11 @@
             ..State::default()
         };
         let holders = Holders::new(settings.longest_use());
-        Some(Guarding { guard, evidence: Evidence::default(), holders, state, said: BTreeMap::new() })
+        Some(GuardReview { guard, evidence: Evidence::default(), holders, state, reported: BTreeMap::new() })
     }
 
-    /// Takes in what a round brought, and what the list says by now.
-    pub fn hear(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
+    /// Takes in a round's reports and the current list of servers.
+    pub fn observe(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
         self.evidence.hear(&round.tries, &round.queries, &round.health, round.now);
         let named = tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let known: BTreeSet<Address> = book.members().keys().copied().chain(named).collect();
@@ -67,44 +69,44 @@
         self.guard.expire(round.now);
     }
 
-    /// Queries a second of all who may hold a table.
+    /// Queries per second of all askers that may hold a table.
     fn demand(&self, table: u16, settings: &Settings) -> f64 {
         let usual = |asker: u16| settings.askers[usize::from(asker)].usual_rate;
         self.holders.of(table).map(|asker| self.evidence.rate(asker, usual(asker))).sum()
     }
 
-    pub fn review<'a>(&'a mut self, settings: &'a Settings) -> Reviewer<'a> {
-        Reviewer { of: self, settings }
+    pub fn review<'a>(&'a mut self, settings: &'a Settings) -> RoundReview<'a> {
+        RoundReview { parent: self, settings }
     }
 }
 
-impl Review for Reviewer<'_> {
+impl Review for RoundReview<'_> {
     fn expect(&mut self, proposals: &BTreeMap<u16, Lines>) {
-        let of = &mut *self.of;
-        of.guard.expect(&of.state, proposals);
+        let parent = &mut *self.parent;
+        parent.guard.expect(&parent.state, proposals);
     }
 
     fn lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
-        // Who was bound in this round counts already.
-        let of = &mut *self.of;
+        // Askers bound in this round already count towards the table's demand.
+        let parent = &mut *self.parent;
         for asker in users {
-            of.holders.bind(*asker, Some(table), of.state.now);
+            parent.holders.bind(*asker, Some(table), parent.state.now);
         }
-        let demand = of.demand(table, self.settings);
-        of.state.demand.insert(table, demand);
-        let (verdict, instead) = of.guard.judge(&of.state, table, lines);
+        let demand = parent.demand(table, self.settings);
+        parent.state.demand.insert(table, demand);
+        let (verdict, instead) = parent.guard.judge(&parent.state, table, lines);
         let same = |old: &Verdict| {
             let checks = |verdict: &Verdict| verdict.findings.iter().map(|f| f.check).collect::<Vec<_>>();
             checks(old) == checks(&verdict) && old.outcome.name() == verdict.outcome.name()
         };
         if verdict.outcome == Outcome::Fine {
-            if self.of.said.remove(&table).is_some() {
-                tracing::info!(table, "the guard lets the table out again");
+            if self.parent.reported.remove(&table).is_some() {
+                tracing::info!(table, "table passes the guard's checks again");
             }
-        } else if !of.said.get(&table).is_some_and(same) {
+        } else if !parent.reported.get(&table).is_some_and(same) {
             let check = verdict.findings.first().map_or("", |finding| finding.check.name());
-            tracing::warn!(table, check, outcome = verdict.outcome.name(), %verdict, "the guard");
-            of.said.insert(table, verdict);
+            tracing::warn!(table, check, outcome = verdict.outcome.name(), %verdict, "table fails the guard's checks");
+            parent.reported.insert(table, verdict);
         }
         instead
     }
@@ -112,32 +114,32 @@
     fn level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
         let classes = &self.settings.classes;
         let place = usize::from(class);
-        let of = &mut *self.of;
-        let tries = of.guard.tries(table, class, classes[place].once, tries, of.state.now);
-        let Some(relief) = of.guard.relief(table) else { return (level, tries) };
+        let parent = &mut *self.parent;
+        let tries = parent.guard.tries(table, class, classes[place].once, tries, parent.state.now);
+        let Some(relief) = parent.guard.relief(table) else { return (level, tries) };
         let benefit: Vec<f64> = classes.iter().map(|class| class.benefit).collect();
-        let demand = of.evidence.by_class(of.holders.of(table), classes.len());
+        let demand = parent.evidence.by_class(parent.holders.of(table), classes.len());
         (level.min(relief.levels(&benefit, &demand)[place]), tries)
     }
 }
 
-fn finding(finding: &Finding) -> Value {
+fn finding_json(finding: &Finding) -> Value {
     let servers: Vec<String> = finding.servers.iter().map(Address::to_string).collect();
     json!({"check": finding.check, "servers": servers, "found": finding.found, "limit": finding.limit,
            "age": finding.age, "text": finding.to_string()})
 }
 
-pub fn verdict(verdict: &Verdict, now: f64) -> Value {
-    let findings: Vec<Value> = verdict.findings.iter().map(finding).collect();
-    let mut told = json!({"table": verdict.table, "ago": now - verdict.at, "outcome": verdict.outcome.name(),
+pub fn verdict_json(verdict: &Verdict, now: f64) -> Value {
+    let findings: Vec<Value> = verdict.findings.iter().map(finding_json).collect();
+    let mut value = json!({"table": verdict.table, "ago": now - verdict.at, "outcome": verdict.outcome.name(),
                           "findings": findings});
     if let Outcome::Nearest { moved, fits } = verdict.outcome {
-        (told["moved"], told["fits"]) = (json!(moved), json!(fits));
+        (value["moved"], value["fits"]) = (json!(moved), json!(fits));
     }
-    told
+    value
 }
 
-/// What is said of the guard, for people and machines.
+/// The guard's state as JSON, for `oatlever guard at explain`.
 pub fn explain(guard: &Guard, now: f64) -> Value {
     let overrides = guard.overrides.iter();
     let overrides = overrides.map(|o| json!({"check": o.check, "by": o.by, "for": o.until - now}));
@@ -147,5 +149,5 @@
     json!({"mode": if guard.mode == Mode::Report { "report" } else { "enforce" },
            "findings": guard.findings, "outcomes": guard.outcomes,
            "overrides": overrides.collect::<Vec<_>>(), "pins": pins.collect::<Vec<_>>(),
-           "verdicts": guard.told().map(|told| verdict(told, now)).collect::<Vec<_>>()})
+           "verdicts": guard.told().map(|verdict| verdict_json(verdict, now)).collect::<Vec<_>>()})
 }
--- a/pilot/src/logs.rs
+++ b/pilot/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs, on standard error.
+//! Structured logs on standard error.
 
 use tracing_subscriber::EnvFilter;
 
@@ -8,10 +8,11 @@
     Json,
 }
 
-/// Errors: the filter makes no sense.
+/// Starts logging. Fails if the filter can't be parsed.
 pub fn start(form: Form, filter: &str) -> Result<(), String> {
     let filter = EnvFilter::try_new(filter).map_err(|e| format!("--log-filter {filter:?}: {e}"))?;
-    // Guards against a pilot that ends as whoever read its log is gone: it would panic over telling so.
+    // Without this, a failed write is itself reported on standard error, and that panics and ends the pilot once
+    // the reader of its log has exited.
     let builder = tracing_subscriber::fmt().log_internal_errors(false);
     let builder = builder.with_env_filter(filter).with_writer(std::io::stderr);
     match form {
--- a/pilot/src/main.rs
+++ b/pilot/src/main.rs
@@ -1,11 +1,11 @@
-//! `oatlever`: one pilot on sockets.
+//! The `oatlever` command: runs a pilot, sends commands to a running one, and plans or checks tables offline.
 
 mod clock;
 mod control;
 mod core;
-mod drill;
-mod guarding;
-mod handing;
+mod dns_answers;
+mod guard_check;
+mod guard_review;
 mod logs;
 mod metrics;
 mod pages;
@@ -33,41 +33,41 @@
 enum Command {
     /// Run a pilot until SIGTERM or SIGINT.
     Pilot {
-        /// Settings, as JSON.
+        /// The settings file, as JSON.
         settings: PathBuf,
-        /// How logs are written, to standard error.
+        /// The format of the logs, which go to standard error.
         #[arg(long, value_enum, default_value_t = logs::Form::Text)]
         log: logs::Form,
-        /// What is logged, as `info` or `oatlever=debug`.
+        /// Which logs are written, such as `info` or `oatlever=debug`.
         #[arg(long, default_value = "info")]
         log_filter: String,
-        /// Start of all chance: the same seed draws alike.
+        /// Seed of the random number generators; random by default.
         #[arg(long)]
         seed: Option<u64>,
-        /// End as on SIGTERM when standard input ends, for a program that runs a pilot of its own: however that
-        /// program ends, its pipe closes.
+        /// Shut down as on SIGTERM when standard input ends. For a parent process that starts a pilot: the pipe
+        /// closes however the parent exits.
         #[arg(long)]
         end_with_input: bool,
     },
     /// Run a pilot on the operators' platform until SIGTERM or SIGINT.
     Platform {
-        /// The configuration, as JSON; what `BALANCER_CONFIG` names where it is left out.
+        /// The configuration file, as JSON; defaults to the path in `BALANCER_CONFIG`.
         configuration: Option<PathBuf>,
-        /// How logs are written, to standard error.
+        /// The format of the logs, which go to standard error.
         #[arg(long, value_enum, default_value_t = logs::Form::Text)]
         log: logs::Form,
-        /// What is logged, as `info` or `oatlever=debug`.
+        /// Which logs are written, such as `info` or `oatlever=debug`.
         #[arg(long, default_value = "info")]
         log_filter: String,
-        /// End as on SIGTERM when standard input ends, for a program that runs a pilot of its own.
+        /// Shut down as on SIGTERM when standard input ends, for a parent process that starts a pilot.
         #[arg(long)]
         end_with_input: bool,
     },
-    /// Check settings and say what is wrong with them.
+    /// Validate a settings file and report every mistake in it.
     Check { settings: PathBuf },
     /// Print the JSON Schema of the settings.
     Schema,
-    /// Look at the versions of a running pilot's tables, go back to one, let it go on.
+    /// List, show and compare versions of a running pilot's tables; roll back to one, or release a frozen table.
     Tables {
         /// The pilot's `/control/socket`.
         #[arg(long)]
@@ -75,14 +75,14 @@
         #[command(subcommand)]
         what: control::Command,
     },
-    /// What answers of the DNS front may still bring a server, and until when.
+    /// Show how much load unexpired DNS answers may still bring a server, and until when.
     Holders {
         /// The pilot's `/control/socket`.
         #[arg(long)]
         socket: PathBuf,
         server: std::net::SocketAddrV4,
     },
-    /// Give a zone's servers another price on a running pilot, until it restarts.
+    /// Set the price of a zone's servers on a running pilot, until it restarts.
     Price {
         /// The pilot's `/control/socket`.
         #[arg(long)]
@@ -90,18 +90,18 @@
         /// ZONE=PRICE
         price: String,
     },
-    /// Plan the cheapest flows offline: what goes where, what it costs, what one more server would save.
+    /// Plan the cheapest flows offline: flows between zones, their cost, and what more capacity would save.
     Plan {
-        /// A model as JSON: `plan.model` on a pilot's `/status`, or by hand; `--schema` prints what it keeps.
+        /// A model as JSON: `plan.model` of a pilot's `/status`, or one written to the schema that `--schema` prints.
         #[arg(required_unless_present = "schema")]
         model: Option<PathBuf>,
         /// Print the JSON Schema of models instead.
         #[arg(long)]
         schema: bool,
         #[command(flatten)]
-        what: plan::What,
+        options: plan::Options,
     },
-    /// The guard that looks at tables before they go out.
+    /// The guard, which checks tables before they are published.
     Guard {
         #[command(subcommand)]
         what: Guard,
@@ -110,75 +110,81 @@
 
 #[derive(Subcommand)]
 enum Guard {
-    /// Judge a table offline: exit 0 where it may go out, 1 where not. The page for operators has the form.
+    /// Check a table offline. Exits with 0 if it may be published and with 1 if not. The operators' documentation
+    /// describes the format of both files.
     Check { table: PathBuf, state: PathBuf },
-    /// Ask or tell a running pilot's guard.
+    /// Inspect or command a running pilot's guard.
     At {
         /// The pilot's `/control/socket`.
         #[arg(long)]
         socket: PathBuf,
         #[command(subcommand)]
-        what: control::Word,
+        what: control::GuardCommand,
     },
 }
 
-/// Exit status where the settings or the command line are wrong.
-const WRONG: u8 = 2;
-/// Exit status where the program could not do what it was asked.
+/// Exit status for invalid settings or arguments.
+const INVALID_INPUT: u8 = 2;
+/// Exit status for a command that failed.
 const FAILED: u8 = 1;
 
-fn read(path: &Path) -> Result<Settings, ExitCode> {
+fn read_settings(path: &Path) -> Result<Settings, ExitCode> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         eprintln!("oatlever: {}: {e}", path.display());
-        ExitCode::from(WRONG)
+        ExitCode::from(INVALID_INPUT)
     })?;
     oatlever_settings::read(&text).map_err(|mistakes| {
         for mistake in mistakes {
             eprintln!("oatlever: {}: {mistake}", path.display());
         }
-        ExitCode::from(WRONG)
+        ExitCode::from(INVALID_INPUT)
     })
 }
 
-fn told(code: u8) -> impl Fn(String) -> ExitCode {
+/// Prints an error and turns it into an exit status.
+fn exit_with(code: u8) -> impl Fn(String) -> ExitCode {
     move |e: String| {
         eprintln!("oatlever: {e}");
         ExitCode::from(code)
     }
 }
 
-/// Whether something asked for holds; errors are of what was given.
-fn verdict(holds: Result<bool, String>) -> Result<(), ExitCode> {
-    match holds.map_err(told(WRONG))? {
+/// The exit status of an offline check: failure for a negative result, [`INVALID_INPUT`] for an error.
+fn check_status(passed: Result<bool, String>) -> Result<(), ExitCode> {
+    match passed.map_err(exit_with(INVALID_INPUT))? {
         true => Ok(()),
         false => Err(ExitCode::FAILURE),
     }
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Schema => {
             println!("{:#}", oatlever_settings::schema());
             Ok(())
         }
         Command::Tables { socket, what } => {
-            what.request().and_then(|request| control::tell(&socket, request)).map_err(told(FAILED))
+            what.request().and_then(|request| control::send(&socket, request)).map_err(exit_with(FAILED))
         }
         Command::Holders { socket, server } => {
             let request = ("GET", format!("/holders/{server}"), String::new());
-            control::tell(&socket, request).map_err(told(FAILED))
+            control::send(&socket, request).map_err(exit_with(FAILED))
         }
-        Command::Price { socket, price } => {
-            control::price(&price).and_then(|request| control::tell(&socket, request)).map_err(told(FAILED))
+        Command::Price { socket, price } => control::price_request(&price)
+            .and_then(|request| control::send(&socket, request))
+            .map_err(exit_with(FAILED)),
+        Command::Plan { model, schema, options } => {
+            check_status(plan::run(model.as_deref(), schema, &options))
         }
-        Command::Plan { model, schema, what } => verdict(plan::run(model.as_deref(), schema, &what)),
         Command::Guard { what: Guard::At { socket, what } } => {
-            control::tell(&socket, what.request()).map_err(told(FAILED))
+            control::send(&socket, what.request()).map_err(exit_with(FAILED))
         }
-        Command::Guard { what: Guard::Check { table, state } } => verdict(drill::check(&table, &state)),
-        Command::Check { settings } => read(&settings).map(|s| {
+        Command::Guard { what: Guard::Check { table, state } } => {
+            check_status(guard_check::check(&table, &state))
+        }
+        Command::Check { settings } => read_settings(&settings).map(|s| {
             println!(
-                "{} zones, {} classes, {} askers: settings are right",
+                "settings are valid: {} zones, {} classes, {} askers",
                 s.zones.len(),
                 s.classes.len(),
                 s.askers.len()
@@ -186,23 +192,22 @@
         }),
         Command::Platform { configuration, log, log_filter, end_with_input } => {
             let path = configuration.or_else(|| std::env::var_os("BALANCER_CONFIG").map(PathBuf::from));
-            let path = path.ok_or_else(|| "no configuration: name one, or set BALANCER_CONFIG".to_string());
-            platform::begin().map_err(told(FAILED)).and_then(|begun| {
+            let path = path.ok_or_else(|| "no configuration: pass a path or set BALANCER_CONFIG".to_string());
+            platform::Startup::new().map_err(exit_with(FAILED)).and_then(|startup| {
                 path.and_then(|path| Ok((platform::Configuration::load(&path)?, path)))
-                    .and_then(|read| logs::start(log, &log_filter).map(|()| read))
-                    .map_err(told(WRONG))
-                    .and_then(|(read, path)| {
-                        platform::run(read, path, begun, end_with_input).map_err(told(FAILED))
+                    .and_then(|loaded| logs::start(log, &log_filter).map(|()| loaded))
+                    .map_err(exit_with(INVALID_INPUT))
+                    .and_then(|(configuration, path)| {
+                        platform::run(configuration, path, startup, end_with_input).map_err(exit_with(FAILED))
                     })
             })
         }
-        Command::Pilot { settings, log, log_filter, seed, end_with_input } => {
-            read(&settings).and_then(|settings| {
-                logs::start(log, &log_filter).map_err(told(WRONG))?;
+        Command::Pilot { settings, log, log_filter, seed, end_with_input } => read_settings(&settings)
+            .and_then(|settings| {
+                logs::start(log, &log_filter).map_err(exit_with(INVALID_INPUT))?;
                 let seed = seed.unwrap_or_else(|| fastrand::u64(..));
-                serve::run(settings, seed, end_with_input).map_err(told(FAILED))
-            })
-        }
+                serve::run(settings, seed, end_with_input).map_err(exit_with(FAILED))
+            }),
     };
-    done.map_or_else(|code| code, |()| ExitCode::SUCCESS)
+    result.map_or_else(|code| code, |()| ExitCode::SUCCESS)
 }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -1,4 +1,4 @@
-//! `/metrics`: what the pilot counts, as OpenMetrics text.
+//! `/metrics`: the pilot's counters and gauges as OpenMetrics text.
 
 use crate::serve::Pilot;
 use prometheus_client::encoding::text::encode;
@@ -10,19 +10,19 @@
 
 type Labels = Vec<(String, String)>;
 
-fn count(registry: &mut Registry, name: &str, help: &str, value: u64) {
+fn add_counter(registry: &mut Registry, name: &str, help: &str, value: u64) {
     let counter: Counter = Counter::default();
     counter.inc_by(value);
     registry.register(name, help, counter);
 }
 
-fn measure(registry: &mut Registry, name: &str, help: &str, value: f64) {
+fn add_gauge(registry: &mut Registry, name: &str, help: &str, value: f64) {
     let gauge: Gauge<f64, AtomicU64> = Gauge::default();
     gauge.set(value);
     registry.register(name, help, gauge);
 }
 
-fn counts<'a, K: ToString + 'a>(
+fn add_counters<'a, K: ToString + 'a>(
     registry: &mut Registry,
     (name, help, label): (&str, &str, &str),
     values: impl IntoIterator<Item = (&'a K, &'a u64)>,
@@ -34,93 +34,148 @@
     registry.register(name, help, family);
 }
 
-/// The text; figures are read at the moment of the call.
+/// The metrics' current values as OpenMetrics text.
 pub fn text(pilot: &Pilot) -> Result<String, std::fmt::Error> {
     let (core, front) = (pilot.core.borrow(), pilot.front.borrow());
     let now = core.now();
-    let mut whole = Registry::with_prefix("oatlever");
-    let r = &mut whole;
-    count(r, "rounds", "Rounds of decisions", core.counts.rounds);
+    let mut registry = Registry::with_prefix("oatlever");
+    let r = &mut registry;
+    add_counter(r, "rounds", "Rounds of decisions run", core.counts.rounds);
     let seconds: Counter<f64, AtomicU64> = Counter::default();
-    seconds.inc_by(core.counts.deciding);
-    r.register_with_unit("deciding", "Time spent deciding", Unit::Seconds, seconds);
-    measure(r, "longest_round_seconds", "The longest round so far", core.counts.longest_round);
-    measure(r, "tables_version", "Rounds that changed tables", core.tables.version() as f64);
-    measure(r, "servers_listed", "Servers on the list", core.book.members().len() as f64);
-    let age = core.list_heard.map_or(f64::INFINITY, |at| now - at);
-    measure(r, "list_age_seconds", "Since the last list that could be read", age);
-    counts(r, ("lists", "Readings of the list, by what they were", "kind"), &core.counts.lists);
-    count(r, "readings", "Readings of counters", core.counts.readings);
-    count(r, "readings_missed", "Readings of counters that failed", core.counts.readings_missed);
-    count(r, "readings_anew", "Readings with nothing to compare with", core.counts.readings_anew);
-    count(r, "reports_strange", "Samples that name nothing known", core.sums.strange);
-    count(r, "checks", "Health checks made", core.counts.checks);
-    measure(r, "askers_up", "Askers that are there", core.presence.up().count() as f64);
-    measure(r, "channel_waiting_lines", "Lines not yet in use everywhere", core.tables.pull.waiting());
-    measure(r, "channel_waiting_lines_most", "The most that ever waited", core.tables.pull.most);
-    count(r, "channel_messages", "Changes ordered, counted at each asker", core.tables.pull.ordered);
-    count(r, "dns_questions", "Questions that came", front.counts.questions);
-    counts(r, ("dns_answers", "Answers, by response code", "code"), &front.counts.answers);
-    count(r, "dns_dropped", "Packets that are no question", front.counts.dropped);
-    count(r, "dns_limited", "Questions over a source's limit, not answered", front.counts.limited);
-    count(r, "dns_shortened", "Questions over a source's limit, answered truncated", front.counts.shortened);
-    count(r, "dns_truncated", "Answers too large for UDP", front.counts.truncated);
-    count(r, "dns_proven", "Questions with a good cookie", front.counts.proven);
-    count(r, "dns_strangers", "Questions from no asker of the settings", front.counts.strangers);
-    measure(r, "dns_connections", "Open TCP connections", pilot.gate.open() as f64);
-    if let Some(guarding) = &core.guarding {
-        let guard = &guarding.guard;
-        counts(r, ("guard_findings", "What the guard found wrong, by check", "check"), &guard.findings);
-        counts(r, ("guard_verdicts", "Verdicts of the guard, by outcome", "outcome"), &guard.outcomes);
+    seconds.inc_by(core.counts.decision_seconds);
+    r.register_with_unit("deciding", "Time spent in rounds of decisions", Unit::Seconds, seconds);
+    add_gauge(r, "longest_round_seconds", "Duration of the longest round", core.counts.longest_round);
+    add_gauge(
+        r,
+        "tables_version",
+        "Version of the tables: the number of rounds that changed them",
+        core.tables.version() as f64,
+    );
+    add_gauge(r, "servers_listed", "Servers on the list of servers", core.book.members().len() as f64);
+    let age = core.list_received_at.map_or(f64::INFINITY, |at| now - at);
+    add_gauge(r, "list_age_seconds", "Age of the last list of servers that was read", age);
+    add_counters(r, ("lists", "Attempts to read the list of servers, by result", "kind"), &core.counts.lists);
+    add_counter(r, "readings", "Successful scrapes of counters", core.counts.scrapes);
+    add_counter(r, "readings_missed", "Failed scrapes of counters", core.counts.failed_scrapes);
+    add_counter(r, "readings_anew", "Scrapes that only set a baseline", core.counts.baseline_scrapes);
+    add_counter(r, "reports_strange", "Samples that name an unknown server or class", core.sums.strange);
+    add_counter(r, "checks", "Health checks completed", core.counts.checks);
+    add_gauge(r, "askers_up", "Askers that are up", core.presence.up().count() as f64);
+    add_gauge(
+        r,
+        "channel_waiting_lines",
+        "Table lines not yet in use at every asker",
+        core.tables.pull.waiting(),
+    );
+    add_gauge(
+        r,
+        "channel_waiting_lines_most",
+        "Largest number of waiting lines so far",
+        core.tables.pull.most,
+    );
+    add_counter(
+        r,
+        "channel_messages",
+        "Table changes ordered, counted once per asker",
+        core.tables.pull.ordered,
+    );
+    add_counter(r, "dns_questions", "DNS queries received", front.counts.questions);
+    add_counters(r, ("dns_answers", "DNS answers, by response code", "code"), &front.counts.answers);
+    add_counter(r, "dns_dropped", "Packets that are not a DNS query", front.counts.dropped);
+    add_counter(r, "dns_limited", "Queries over a source's rate limit, not answered", front.counts.limited);
+    add_counter(
+        r,
+        "dns_shortened",
+        "Queries over a source's rate limit, answered truncated",
+        front.counts.shortened,
+    );
+    add_counter(
+        r,
+        "dns_truncated",
+        "Answers truncated because they exceed the UDP size",
+        front.counts.truncated,
+    );
+    add_counter(r, "dns_proven", "Queries with a valid DNS cookie", front.counts.proven);
+    add_counter(r, "dns_strangers", "Queries from addresses of no configured asker", front.counts.strangers);
+    add_gauge(r, "dns_connections", "Open DNS connections over TCP", pilot.gate.open() as f64);
+    if let Some(guard_review) = &core.guard_review {
+        let guard = &guard_review.guard;
+        add_counters(r, ("guard_findings", "Findings of the guard, by check", "check"), &guard.findings);
+        add_counters(r, ("guard_verdicts", "Verdicts of the guard, by outcome", "outcome"), &guard.outcomes);
     }
     if core.settings.dns.ledger.is_some() {
-        let handout = &core.handing.handout;
-        measure(
+        let handout = &core.dns_answers.handout;
+        add_gauge(
             r,
             "ledger_servers",
-            "Servers that answers may still bring queries",
+            "Servers that unexpired answers may still bring queries",
             handout.ledger.servers() as f64,
         );
-        measure(r, "ledger_askers", "Askers and classes remembered", handout.ledger.remembered() as f64);
-        count(r, "ledger_forgotten", "Askers forgotten while their answers lived", handout.ledger.forgotten);
-        count(
+        add_gauge(
+            r,
+            "ledger_askers",
+            "Pairs of asker and class in the ledger",
+            handout.ledger.remembered() as f64,
+        );
+        add_counter(
+            r,
+            "ledger_forgotten",
+            "Askers evicted while their answers were unexpired",
+            handout.ledger.forgotten,
+        );
+        add_counter(
             r,
             "ledger_overstays",
-            "Times an asker used a server past its answer's end",
+            "Times an asker used a server after its answer had expired",
             handout.ledger.overstays,
         );
-        measure(r, "ledger_latest_seconds", "The longest that anybody did", handout.ledger.latest);
-        count(r, "ledger_passed_over", "Times a cold server was passed over", handout.counts.passed_over);
-        count(
+        add_gauge(
+            r,
+            "ledger_latest_seconds",
+            "Longest use of a server after its answer had expired",
+            handout.ledger.latest,
+        );
+        add_counter(
+            r,
+            "ledger_passed_over",
+            "Times a cold server over its budget was skipped",
+            handout.counts.passed_over,
+        );
+        add_counter(
             r,
             "ledger_nothing_better",
-            "Answers of cold servers past their budget",
+            "Answers with only cold servers over their budget",
             handout.counts.nothing_better,
         );
     }
     if let Some(planning) = &core.planning {
-        counts(r, ("plans", "Plans, by what came of them", "outcome"), &planning.outcomes);
+        add_counters(r, ("plans", "Plans made, by outcome", "outcome"), &planning.outcomes);
         if let Some((_, Ok(decided))) = &planning.last {
-            measure(r, "plan_cost", "Cost a second of the last plan", decided.plan.cost);
-            measure(r, "plan_bound", "What no plan could be cheaper than", decided.plan.bound);
-            measure(r, "plan_carries", "Queries a second of a unit of weight", decided.orders.carries);
+            add_gauge(r, "plan_cost", "Cost per second of the last plan", decided.plan.cost);
+            add_gauge(r, "plan_bound", "Lower bound on the cost per second of any plan", decided.plan.bound);
+            add_gauge(
+                r,
+                "plan_carries",
+                "Queries per second that a unit of weight carries",
+                decided.orders.carries,
+            );
         }
     }
     if let Some(streams) = &*pilot.streams.borrow() {
-        let met = streams.counts.borrow();
-        measure(r, "xds_streams", "Open discovery streams", streams.streams() as f64);
-        count(r, "xds_pushes", "Responses sent", met.pushes);
-        count(r, "xds_bytes", "Bytes of responses", met.bytes);
-        count(r, "xds_acknowledged", "Responses taken", met.acknowledged);
-        count(r, "xds_refused", "Responses refused", met.refused);
-        count(r, "xds_stale", "Requests that answer an older response", met.stale);
-        count(r, "xds_handshakes_failed", "Handshakes that came to nothing", met.handshakes_failed);
-        count(r, "xds_keys_renewed", "Keys taken up from changed files", met.keys_renewed);
-        count(r, "xds_keys_left", "Changed keys that could not be used", met.keys_left);
-        count(r, "xds_loads", "Load reports", met.loads);
-        counts(r, ("xds_ended", "Streams that ended", "why"), &met.ended);
+        let counts = streams.counts.borrow();
+        add_gauge(r, "xds_streams", "Open discovery streams", streams.streams() as f64);
+        add_counter(r, "xds_pushes", "Discovery responses sent", counts.pushes);
+        add_counter(r, "xds_bytes", "Bytes of discovery responses sent", counts.bytes);
+        add_counter(r, "xds_acknowledged", "Discovery responses acknowledged", counts.acknowledged);
+        add_counter(r, "xds_refused", "Discovery responses rejected by clients", counts.refused);
+        add_counter(r, "xds_stale", "Requests with the nonce of an older response", counts.stale);
+        add_counter(r, "xds_handshakes_failed", "Failed TLS handshakes", counts.handshakes_failed);
+        add_counter(r, "xds_keys_renewed", "TLS keys reloaded from changed files", counts.keys_renewed);
+        add_counter(r, "xds_keys_left", "Failed reloads of TLS keys", counts.keys_left);
+        add_counter(r, "xds_loads", "Load reports received", counts.loads);
+        add_counters(r, ("xds_ended", "Discovery streams that ended, by reason", "why"), &counts.ended);
     }
     let mut text = String::new();
-    encode(&mut text, &whole)?;
+    encode(&mut text, &registry)?;
     Ok(text)
 }
--- a/pilot/src/pages.rs
+++ b/pilot/src/pages.rs
@@ -1,4 +1,4 @@
-//! Pages over HTTP/1 for people, collectors and commands: so many connections at once, each for so long.
+//! An HTTP/1 server for status pages, metrics and commands, with limits on the number and lifetime of connections.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -16,59 +16,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections at once on one listener; pages are for people and collectors, a few of each.
-const CONNECTIONS: usize = 64;
-/// s; a connection lives no longer.
-const LIFE: f64 = 10.0;
-/// Bytes of the largest request; more breaks the connection.
-const MOST: usize = 1 << 20;
-/// s; after an accept that failed, as when descriptors ran out.
-const PAUSE: f64 = 0.01;
+/// Concurrent connections per listener. Only operators and a few metric collectors connect.
+const MAX_CONNECTIONS: usize = 64;
+/// Seconds after which a connection is closed.
+const CONNECTION_LIFETIME: f64 = 10.0;
+/// Largest request body, in bytes; a longer one breaks the connection.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
+/// Seconds to wait after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: f64 = 0.01;
 
-pub type Page = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
-/// A page of a status, a media type and a text.
-pub fn answer(status: StatusCode, kind: &'static str, text: String) -> Page {
-    let mut page = Response::new(Full::new(Bytes::from(text)));
-    *page.status_mut() = status;
-    page.headers_mut().insert("content-type", HeaderValue::from_static(kind));
-    page
+pub fn response(status: StatusCode, content_type: &'static str, body: String) -> HttpResponse {
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    *response.status_mut() = status;
+    response.headers_mut().insert("content-type", HeaderValue::from_static(content_type));
+    response
 }
 
-/// Serves pages for ever on what `accept` brings.
+/// Serves requests on every connection from `accept`, without end.
 pub async fn serve<T: AsyncRead + AsyncWrite + Unpin + 'static>(
     accept: impl AsyncFn() -> io::Result<T>,
-    page: impl Fn(&Parts, &[u8]) -> Page + 'static,
+    handle: impl Fn(&Parts, &[u8]) -> HttpResponse + 'static,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    let (open, page) = (Rc::new(Cell::new(0)), Rc::new(page));
+    let (open, handle) = (Rc::new(Cell::new(0)), Rc::new(handle));
     loop {
         let Ok(stream) = accept().await else {
-            Timer::after(Duration::from_secs_f64(PAUSE)).await;
+            Timer::after(Duration::from_secs_f64(ACCEPT_RETRY_DELAY)).await;
             continue;
         };
-        if open.get() >= CONNECTIONS {
+        if open.get() >= MAX_CONNECTIONS {
             continue;
         }
         open.set(open.get() + 1);
-        let (page, open) = (page.clone(), open.clone());
-        let talk = async move {
+        let (handle, open) = (handle.clone(), open.clone());
+        let connection = async move {
             let service = service_fn(|request: Request<Incoming>| async {
                 let (head, body) = request.into_parts();
-                let body = Limited::new(body, MOST).collect().await?.to_bytes();
-                Ok::<_, Box<dyn Error + Send + Sync>>(page(&head, &body))
+                let body = Limited::new(body, MAX_REQUEST_BYTES).collect().await?.to_bytes();
+                Ok::<_, Box<dyn Error + Send + Sync>>(handle(&head, &body))
             });
             let served = async {
                 let io = FuturesIo::new(stream);
-                // However it ends, only this reader is concerned.
+                // An error concerns this client only.
                 let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service).await;
             };
-            let late = async {
-                Timer::after(Duration::from_secs_f64(LIFE)).await;
+            let deadline = async {
+                Timer::after(Duration::from_secs_f64(CONNECTION_LIFETIME)).await;
             };
-            future::or(served, late).await;
+            future::or(served, deadline).await;
             open.set(open.get() - 1);
         };
-        executor.spawn(talk).detach();
+        executor.spawn(connection).detach();
     }
 }
--- a/pilot/src/plan.rs
+++ b/pilot/src/plan.rs
@@ -1,45 +1,46 @@
-//! `oatlever plan`: plans offline, and what would be if something were otherwise.
+//! `oatlever plan`: makes plans offline, also under changed prices, capacity or demand.
 
 use oatlever_cost::{plan, Model, Plan, Source};
 use serde_json::json;
 use std::fmt::Write;
 use std::path::Path;
 
-/// s
+/// Time limit of the solver, s.
 const PATIENCE: f64 = 60.0;
 
-/// What is to be otherwise than the model says, and how the answer is written.
+/// Changes to the model, and the output format.
 #[derive(clap::Args)]
-pub struct What {
-    /// A zone has no servers left.
+pub struct Options {
+    /// Remove all servers of a zone.
     #[arg(long, value_name = "ZONE")]
     lost: Vec<String>,
-    /// The price of a zone's servers is another.
+    /// Set the price of a zone's servers.
     #[arg(long, value_name = "ZONE=PRICE")]
     price: Vec<String>,
-    /// Everybody asks for so many times as much.
+    /// Multiply all demand.
     #[arg(long, value_name = "TIMES")]
     demand: Option<f64>,
+    /// Print the plan as JSON.
     #[arg(long)]
     json: bool,
 }
 
-impl What {
+impl Options {
     fn zone(model: &Model, name: &str) -> Result<usize, String> {
-        let known = || format!("{name:?} is none of the zones: {}", model.zones.join(", "));
-        model.zones.iter().position(|zone| zone == name).ok_or_else(known)
+        let unknown = || format!("{name:?} is not one of the zones {}", model.zones.join(", "));
+        model.zones.iter().position(|zone| zone == name).ok_or_else(unknown)
     }
 
     fn apply(&self, model: &mut Model) -> Result<(), String> {
         for name in &self.lost {
-            let zone = What::zone(model, name).map_err(|e| format!("--lost: {e}"))?;
+            let zone = Options::zone(model, name).map_err(|e| format!("--lost: {e}"))?;
             model.pools.iter_mut().filter(|pool| pool.zone == zone).for_each(|pool| pool.capacity = 0.0);
         }
         for text in &self.price {
-            let told = |e: &dyn std::fmt::Display| format!("--price {text}: {e}");
-            let (name, price) = text.split_once('=').ok_or_else(|| told(&"expected ZONE=PRICE"))?;
-            let zone = What::zone(model, name).map_err(|e| told(&e))?;
-            let price: f64 = price.parse().map_err(|e| told(&e))?;
+            let with_argument = |e: &dyn std::fmt::Display| format!("--price {text}: {e}");
+            let (name, price) = text.split_once('=').ok_or_else(|| with_argument(&"expected ZONE=PRICE"))?;
+            let zone = Options::zone(model, name).map_err(|e| with_argument(&e))?;
+            let price: f64 = price.parse().map_err(|e| with_argument(&e))?;
             model.pools.iter_mut().filter(|pool| pool.zone == zone).for_each(|pool| pool.price = price);
         }
         let times = self.demand.unwrap_or(1.0);
@@ -48,20 +49,20 @@
     }
 }
 
-/// Reads a model, plans and prints. True where everything fits. Errors: what can't be read, and where.
-pub fn run(path: Option<&Path>, schema: bool, what: &What) -> Result<bool, String> {
+/// Reads a model, makes a plan and prints it. True if all demand fits. Fails if the model can't be read.
+pub fn run(path: Option<&Path>, schema: bool, options: &Options) -> Result<bool, String> {
     let Some(path) = path.filter(|_| !schema) else {
         println!("{:#}", schemars::schema_for!(Model).to_value());
         return Ok(true);
     };
-    let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
-    let mut model: Model = serde_json::from_str(&text).map_err(|e| at(&e))?;
-    model.check().map_err(|e| at(&e))?;
-    let before = plan(&model, None, PATIENCE).map_err(|e| at(&e))?;
-    what.apply(&mut model)?;
-    let after = plan(&model, None, PATIENCE).map_err(|e| at(&e))?;
-    if what.json {
+    let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| with_path(&e))?;
+    let mut model: Model = serde_json::from_str(&text).map_err(|e| with_path(&e))?;
+    model.check().map_err(|e| with_path(&e))?;
+    let before = plan(&model, None, PATIENCE).map_err(|e| with_path(&e))?;
+    options.apply(&mut model)?;
+    let after = plan(&model, None, PATIENCE).map_err(|e| with_path(&e))?;
+    if options.json {
         println!("{:#}", json!({"plan": after, "gap": after.gap(), "cost_as_it_is": before.cost}));
     } else {
         print!("{}", table(&model, &before, &after).map_err(|e| e.to_string())?);
@@ -69,7 +70,7 @@
     Ok(after.faults.is_empty())
 }
 
-/// For people.
+/// The plan as text.
 fn table(model: &Model, before: &Plan, after: &Plan) -> Result<String, std::fmt::Error> {
     let mut out = String::new();
     let source = |s: &Source| format!("{}/{}", model.zones[s.zone], model.classes[s.class].name);
@@ -83,17 +84,17 @@
     writeln!(
         out,
         "\n{:16} {:>10} {:>10} {:>6} {:>22}",
-        "servers", "load", "may have", "full", "one more unit saves"
+        "servers", "load", "usable", "full", "one more unit saves"
     )?;
-    for (place, pool) in model.pools.iter().enumerate() {
-        let (load, most) = (after.load(place), model.usable(place));
-        let full = 100.0 * load / most.max(f64::MIN_POSITIVE);
+    for (index, pool) in model.pools.iter().enumerate() {
+        let (load, usable) = (after.load(index), model.usable(index));
+        let full = 100.0 * load / usable.max(f64::MIN_POSITIVE);
         let name = format!("{} at {}", model.zones[pool.zone], pool.price);
-        writeln!(out, "{name:16} {load:10.2} {most:10.2} {full:5.0}% {:22.4}", after.pool_prices[place])?;
+        writeln!(out, "{name:16} {load:10.2} {usable:10.2} {full:5.0}% {:22.4}", after.pool_prices[index])?;
     }
     writeln!(
         out,
-        "\ncost {:.4} a second, at most {:.4}% above the best possible; as it is {:.4}",
+        "\ncost {:.4} per second, at most {:.4}% above the optimum; {:.4} with the unchanged model",
         after.cost,
         100.0 * after.gap(),
         before.cost
@@ -101,7 +102,7 @@
     for (name, missing) in lost_zones(model) {
         match missing {
             missing if missing > 0.0 => {
-                writeln!(out, "without {name}: {missing:.2} units of work a second do not fit")?
+                writeln!(out, "without {name}: {missing:.2} units of work per second do not fit")?
             }
             _ => writeln!(out, "without {name}: everything fits")?,
         }
@@ -112,7 +113,7 @@
             fault.refused.iter().map(|(s, queries)| format!("{} {queries:.2} queries/s", source(s)));
         writeln!(
             out,
-            "does not fit by {:.2} units of work a second: {}; refused: {}",
+            "does not fit by {:.2} units of work per second: {}; refused: {}",
             fault.missing,
             sources.join(", "),
             refused.collect::<Vec<_>>().join(", ")
@@ -121,13 +122,13 @@
     Ok(out)
 }
 
-/// What would not fit if a zone were lost, by zone.
+/// For each zone, the work per second that would not fit without it.
 fn lost_zones(model: &Model) -> Vec<(&String, f64)> {
     let without = |(zone, name)| {
-        let mut less = model.clone();
-        less.pools.iter_mut().filter(|pool| pool.zone == zone).for_each(|pool| pool.capacity = 0.0);
-        let missing =
-            plan(&less, None, PATIENCE).map_or(f64::INFINITY, |p| p.faults.iter().map(|f| f.missing).sum());
+        let mut reduced = model.clone();
+        reduced.pools.iter_mut().filter(|pool| pool.zone == zone).for_each(|pool| pool.capacity = 0.0);
+        let missing = plan(&reduced, None, PATIENCE)
+            .map_or(f64::INFINITY, |p| p.faults.iter().map(|f| f.missing).sum());
         (name, missing)
     };
     model.zones.iter().enumerate().map(without).collect()
--- a/pilot/src/platform/configuration.rs
+++ b/pilot/src/platform/configuration.rs
@@ -1,42 +1,43 @@
-//! What a pilot on the platform is told at its start, and again where that is replaced.
+//! The configuration file of a pilot on the platform, read at the start and on SIGHUP.
 
-use super::LEAST_SOCKETS;
+use super::MIN_SOCKETS;
 use oatlever_instance::{Malformed, Names, Node, Start};
 use oatlever_roster::platform::PlatformDocument;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Descriptors, and MiB of memory, where the configuration states no limit.
-const USUAL_SOCKETS: f64 = 1024.0;
-const USUAL_MEMORY: f64 = 64.0;
-/// Bytes.
+/// Limits of file descriptors and memory (MiB) if the configuration states none.
+const DEFAULT_SOCKETS: f64 = 1024.0;
+const DEFAULT_MEMORY: f64 = 64.0;
+/// Bytes per MiB.
 const MIB: f64 = 1048576.0;
-/// More of either is a mistake.
-const MOST: f64 = 1e7;
+/// Largest valid value of either limit.
+const MAX_LIMIT: f64 = 1e7;
 
+/// The configuration of a pilot, with the environment's values for what the file leaves out.
 pub struct Configuration {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Start of all chance.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// Bytes that it may take.
+    /// Bytes of memory that the process may use.
     pub memory: usize,
-    /// The list of servers as this pilot last had it.
+    /// The last list of servers that this pilot had before its start.
     pub known: PlatformDocument,
     pub start: Start,
     pub names: Names,
 }
 
-/// What the file leaves out the environment says, by these names.
+/// Environment variables for fields that the file leaves out.
 const NAME: &str = "BALANCER_NAME";
 const LISTEN: &str = "BALANCER_LISTEN";
 const DISCOVERY: &str = "BALANCER_DISCOVERY";
 
-/// An address that the file or a variable names.
+/// An address from a field of the file, or from an environment variable if the file has no such field.
 fn address(
     root: &Node,
     field: &str,
@@ -44,9 +45,9 @@
     environment: &impl Fn(&str) -> Option<String>,
 ) -> Result<SocketAddr, String> {
     match (root.maybe(field), environment(variable)) {
-        (Some(told), _) => {
-            let text = told.text().map_err(|e| e.to_string())?;
-            text.parse().or_else(|_| told.wrong("an address with a port")).map_err(|e| e.to_string())
+        (Some(node), _) => {
+            let text = node.text().map_err(|e| e.to_string())?;
+            text.parse().or_else(|_| node.wrong("an address with a port")).map_err(|e| e.to_string())
         }
         (None, Some(text)) => text.parse().map_err(|e| format!("{variable} {text:?}: {e}")),
         (None, None) => Err(format!("`{field}` is missing, and {variable} is not set")),
@@ -54,22 +55,22 @@
 }
 
 impl Configuration {
-    /// Errors: what is wrong, and where.
+    /// Reads the file and the environment. Fails with the path, the field and the reason.
     pub fn load(path: &Path) -> Result<Self, String> {
-        let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-        let text = std::fs::read(path).map_err(|e| told(&e))?;
-        Self::read(&text, &|variable| std::env::var(variable).ok()).map_err(|e| told(&e))
+        let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+        let text = std::fs::read(path).map_err(|e| with_path(&e))?;
+        Self::parse(&text, &|variable| std::env::var(variable).ok()).map_err(|e| with_path(&e))
     }
 
-    fn read(text: &[u8], environment: &impl Fn(&str) -> Option<String>) -> Result<Self, String> {
+    fn parse(text: &[u8], environment: &impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let value: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let root = Node::root(&value);
         let address = |field, variable| address(&root, field, variable, environment);
         let (listen, discovery) = (address("listen", LISTEN)?, address("discovery", DISCOVERY)?);
-        Self::of(&root, environment(NAME), listen, discovery).map_err(|e| e.to_string())
+        Self::from_root(&root, environment(NAME), listen, discovery).map_err(|e| e.to_string())
     }
 
-    fn of(
+    fn from_root(
         root: &Node,
         name: Option<String>,
         listen: SocketAddr,
@@ -78,7 +79,7 @@
         let settings = root.get("settings")?;
         let (names, start) = (oatlever_instance::names(&settings)?, oatlever_instance::start(&settings)?);
         if start.site.slices > 0 {
-            // The protocol has no words for them, so such a pilot would serve nobody.
+            // The platform's protocol has no messages for slices, so such a pilot would serve no proxy.
             return settings.get("family-info")?.get("partitions-n")?.wrong("0, as slices are not served");
         }
         let seed = root.get("seed")?;
@@ -87,9 +88,9 @@
         if let Some(limits) = limits.iter().find(|limits| !limits.value().is_object()) {
             return limits.wrong("an object");
         }
-        let limit = |key: &str, least: f64, usual: f64| {
-            let told = limits.as_ref().and_then(|limits| limits.maybe(key));
-            told.map_or(Ok(usual), |told| told.number(least, MOST))
+        let limit = |key: &str, least: f64, default: f64| {
+            let node = limits.as_ref().and_then(|limits| limits.maybe(key));
+            node.map_or(Ok(default), |node| node.number(least, MAX_LIMIT))
         };
         let known = match root.maybe("known") {
             Some(known) => PlatformDocument::from_value(known.value(), &names.zones)
@@ -98,14 +99,14 @@
         };
         Ok(Configuration {
             name: match root.maybe("name") {
-                Some(told) => told.text()?.to_string(),
+                Some(node) => node.text()?.to_string(),
                 None => name.unwrap_or_default(),
             },
             listen,
             discovery,
             seed: number.or_else(|_| seed.wrong("a number in hexadecimal"))?,
-            sockets: limit("sockets", LEAST_SOCKETS as f64, USUAL_SOCKETS)? as usize,
-            memory: (limit("memory_mb", 1.0, USUAL_MEMORY)? * MIB) as usize,
+            sockets: limit("sockets", MIN_SOCKETS as f64, DEFAULT_SOCKETS)? as usize,
+            memory: (limit("memory_mb", 1.0, DEFAULT_MEMORY)? * MIB) as usize,
             known,
             start,
             names,
--- a/pilot/src/platform/connections.rs
+++ b/pilot/src/platform/connections.rs
@@ -1,4 +1,5 @@
-//! Connections of proxies, collectors and strangers: who is accepted, heard, written to and sent away.
+//! TCP connections of proxies, collectors and unknown clients: accepts them, reads and writes their messages, and
+//! closes those that do not join.
 
 use super::controller::Reaction;
 use super::Pilot;
@@ -17,72 +18,75 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// s; whoever has not joined by then is sent away. The protocol lets it be from 1 s on, and strangers must
-/// know within 3 s; bytes may come in pieces.
-const JOIN_WITHIN: f64 = 1.5;
-/// s; at the end, answers that are owed may take so long to be written. The kill follows SIGTERM no sooner than 0.7 s.
-const LAST_ANSWERS: f64 = 0.3;
-/// Bytes that wait for one connection at most; who leaves more unread is gone.
-const MOST_HELD: usize = 1 << 20;
-/// Bytes read at a time, into one buffer that all connections share.
-const CHUNK: usize = 1 << 16;
-/// s; after an accept that failed, as where descriptors have run out.
-const PAUSE: f64 = 0.01;
-/// Connections beyond the most, where all of those have joined: the new stream of a proxy whose old one has
-/// not been seen to end. So few fit beside what the pilot opens itself.
-pub const NEWCOMERS: usize = 8;
+/// Seconds after which a connection that has not joined is closed. The protocol allows this from 1 s on and
+/// requires it within 3 s; a join message may arrive in pieces.
+const JOIN_TIMEOUT: f64 = 1.5;
+/// Seconds that pending answers get to be written on shutdown. SIGKILL follows SIGTERM after no less than 0.7 s.
+const SHUTDOWN_GRACE: f64 = 0.3;
+/// Most bytes queued for writing on one connection; a peer that leaves more unread is disconnected.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// Size of the read buffer that all connections share.
+const READ_BUFFER_BYTES: usize = 1 << 16;
+/// Seconds to wait after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: f64 = 0.01;
+/// Connections accepted beyond the limit when all others have joined: new streams of proxies whose old stream has
+/// not been seen to end. This few fit beside the descriptors that the pilot opens itself.
+pub const EXTRA_CONNECTIONS: usize = 8;
 
-/// One connection, from its accept to its end: what was read of it, and what waits to be written.
+/// A connection with its input and output buffers.
 struct Peer {
-    number: Connection,
+    id: Connection,
     stream: Async<TcpStream>,
-    /// What it has sent of a message that has not ended.
-    begun: RefCell<Lines>,
-    waiting: RefCell<VecDeque<Rc<[u8]>>>,
-    /// Bytes of the first of those that are written.
+    /// Received bytes of an incomplete message.
+    input: RefCell<Lines>,
+    output: RefCell<VecDeque<Rc<[u8]>>>,
+    /// Bytes of the front of `output` that are already written.
     written: Cell<usize>,
-    held: Cell<usize>,
-    /// Nothing more is read of it.
+    /// Bytes in `output` that are not yet written.
+    queued: Cell<usize>,
+    /// Nothing more is read from the connection.
     closed: Cell<bool>,
-    /// Whoever dialled has joined at some time.
+    /// The peer has joined at some time.
     joined: Cell<bool>,
-    news: Event,
-    /// Nothing waits to be written any more.
+    /// Notified when there is output, or the connection was closed.
+    wake: Event,
+    /// Notified when `output` is empty.
     drained: Event,
 }
 
 impl Peer {
     fn close(&self) {
         self.closed.set(true);
-        self.news.notify(usize::MAX);
+        self.wake.notify(usize::MAX);
     }
 
-    /// Has bytes written, after what waits; false where too much does.
-    fn say(&self, bytes: Rc<[u8]>) -> bool {
-        self.held.set(self.held.get() + bytes.len());
-        if self.held.get() > MOST_HELD {
+    /// Queues bytes for writing. False if the queue is full.
+    fn queue(&self, bytes: Rc<[u8]>) -> bool {
+        self.queued.set(self.queued.get() + bytes.len());
+        if self.queued.get() > MAX_QUEUED_BYTES {
             return false;
         }
-        self.waiting.borrow_mut().push_back(bytes);
-        self.news.notify(usize::MAX);
+        self.output.borrow_mut().push_back(bytes);
+        self.wake.notify(usize::MAX);
         true
     }
 
-    /// Writes what waits, as far as that can be done at once. Errors: it can't, or not yet.
+    /// Writes as much of the queued output as possible without blocking. Fails if some is left, with `WouldBlock`
+    /// if the socket buffer is full.
     fn flush(&self) -> io::Result<()> {
         loop {
-            let Some(bytes) = self.waiting.borrow().front().cloned() else {
+            let Some(bytes) = self.output.borrow().front().cloned() else {
                 self.drained.notify(usize::MAX);
                 return Ok(());
             };
-            let begun = self.written.get();
-            match self.stream.get_ref().write(&bytes[begun..]) {
+            let start = self.written.get();
+            match self.stream.get_ref().write(&bytes[start..]) {
                 Ok(n) => {
-                    self.held.set(self.held.get() - n);
-                    self.written.set(begun + n);
-                    if begun + n == bytes.len() {
+                    self.queued.set(self.queued.get() - n);
+                    self.written.set(start + n);
+                    if start + n == bytes.len() {
                         self.written.set(0);
-                        self.waiting.borrow_mut().pop_front();
+                        self.output.borrow_mut().pop_front();
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -92,44 +96,45 @@
     }
 }
 
-/// All that are open.
+/// All open connections.
 pub struct Connections {
-    /// At most.
-    most: usize,
-    next: Cell<Connection>,
+    /// Limit on open connections, which [`EXTRA_CONNECTIONS`] may exceed.
+    max_open: usize,
+    next_id: Cell<Connection>,
     open: RefCell<BTreeMap<Connection, Rc<Peer>>>,
-    /// Those that have not joined, the oldest first.
+    /// Connections that have not joined. Ids ascend, so the oldest comes first.
     unjoined: RefCell<BTreeSet<Connection>>,
+    /// The read buffer.
     buffer: RefCell<Vec<u8>>,
-    /// Bytes of messages that have begun and not ended, on all connections; and how many there may be.
-    unfinished: Cell<usize>,
-    most_unfinished: usize,
+    /// Bytes of incomplete messages on all connections, and their limit.
+    incomplete_bytes: Cell<usize>,
+    max_incomplete_bytes: usize,
 }
 
 impl Connections {
-    pub fn new(most: usize, most_unfinished: usize) -> Self {
+    pub fn new(max_open: usize, max_incomplete_bytes: usize) -> Self {
         Connections {
-            most,
-            unfinished: Cell::new(0),
-            most_unfinished,
-            next: Cell::new(0),
+            max_open,
+            incomplete_bytes: Cell::new(0),
+            max_incomplete_bytes,
+            next_id: Cell::new(0),
             open: RefCell::default(),
             unjoined: RefCell::default(),
-            buffer: RefCell::new(vec![0; CHUNK]),
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
         }
     }
 
-    /// Those open, and how many of them have not joined.
+    /// The number of open connections, and of those among them that have not joined.
     pub fn sizes(&self) -> (usize, usize) {
         (self.open.borrow().len(), self.unjoined.borrow().len())
     }
 
-    /// Has bytes written on a connection, after what waits there.
-    pub fn say(&self, connection: Connection, bytes: Rc<[u8]>) {
+    /// Queues bytes for writing on a connection, and closes it if its queue is full.
+    pub fn send(&self, connection: Connection, bytes: Rc<[u8]>) {
         let open = self.open.borrow();
         let Some(peer) = open.get(&connection) else { return };
-        if !peer.say(bytes) {
-            tracing::info!(connection, "leaves too much unread");
+        if !peer.queue(bytes) {
+            tracing::info!(connection, "connection closed: too much unread output");
             peer.close();
         }
     }
@@ -140,129 +145,130 @@
         }
     }
 
-    fn enter(&self, stream: Async<TcpStream>) -> Rc<Peer> {
-        let number = self.next.replace(self.next.get() + 1);
+    fn add(&self, stream: Async<TcpStream>) -> Rc<Peer> {
+        let id = self.next_id.replace(self.next_id.get() + 1);
         let peer = Rc::new(Peer {
-            number,
+            id,
             stream,
-            begun: RefCell::default(),
-            waiting: RefCell::default(),
+            input: RefCell::default(),
+            output: RefCell::default(),
             written: Cell::new(0),
-            held: Cell::new(0),
+            queued: Cell::new(0),
             closed: Cell::new(false),
             joined: Cell::new(false),
-            news: Event::new(),
+            wake: Event::new(),
             drained: Event::new(),
         });
-        self.open.borrow_mut().insert(number, peer.clone());
-        self.unjoined.borrow_mut().insert(number);
+        self.open.borrow_mut().insert(id, peer.clone());
+        self.unjoined.borrow_mut().insert(id);
         peer
     }
 
-    fn has_joined(&self, peer: &Peer) {
-        self.unjoined.borrow_mut().remove(&peer.number);
+    fn mark_joined(&self, peer: &Peer) {
+        self.unjoined.borrow_mut().remove(&peer.id);
         peer.joined.set(true);
     }
 
-    fn leave(&self, peer: &Peer) {
-        self.open.borrow_mut().remove(&peer.number);
-        self.unjoined.borrow_mut().remove(&peer.number);
-        let begun = peer.begun.take();
-        self.unfinished.set(self.unfinished.get() - begun.kept());
-        peer.held.set(0);
+    fn remove(&self, peer: &Peer) {
+        self.open.borrow_mut().remove(&peer.id);
+        self.unjoined.borrow_mut().remove(&peer.id);
+        let input = peer.input.take();
+        self.incomplete_bytes.set(self.incomplete_bytes.get() - input.kept());
+        peer.queued.set(0);
         peer.drained.notify(usize::MAX);
     }
 
-    /// The oldest of those that have not joined.
+    /// The oldest connection that has not joined.
     fn oldest_unjoined(&self) -> Option<Rc<Peer>> {
         let oldest = *self.unjoined.borrow().first()?;
         self.open.borrow().get(&oldest).cloned()
     }
 
-    /// Bytes that a message of one who has joined may have, of which `kept` came before. Guards against a
-    /// fleet that has joined and sends long messages at once: together they would fill the memory, as each
-    /// may be longer by far than any that is sent in earnest.
-    fn longest(&self, kept: usize) -> usize {
-        let left = self.most_unfinished.saturating_sub(self.unfinished.get() - kept);
+    /// Largest message, in bytes, on a joined connection that has already sent `kept` bytes of it. The limit
+    /// shrinks as the incomplete messages of all connections approach their share of the memory: a message may be
+    /// far longer than any real one, so a joined fleet that sends long ones at once would exhaust the memory.
+    fn max_message_bytes(&self, kept: usize) -> usize {
+        let left = self.max_incomplete_bytes.saturating_sub(self.incomplete_bytes.get() - kept);
         LONGEST.min(left).max(LONGEST_FIRST)
     }
 }
 
-/// Sends the oldest of those away that have not joined, where there are too many connections; false where all
-/// have joined and no more fit.
+/// Closes the oldest connections that have not joined while there are too many connections. False if no further
+/// connection fits because all have joined.
 ///
-/// Guards against strangers that hold descriptors which proxies need; a proxy dials and joins at once,
-/// so the oldest is the least likely to be one.
+/// Without this, unknown clients could hold descriptors that proxies need. A proxy joins as soon as it connects, so
+/// the oldest connection that has not joined is the least likely to be a proxy.
 fn make_room(pilot: &Pilot) -> bool {
-    let all = &pilot.connections;
-    let open = || all.open.borrow().len();
-    while open() >= all.most && send_oldest_away(pilot) {}
-    open() < all.most + NEWCOMERS
+    let connections = &pilot.connections;
+    let open = || connections.open.borrow().len();
+    while open() >= connections.max_open && close_oldest_unjoined(pilot) {}
+    open() < connections.max_open + EXTRA_CONNECTIONS
 }
 
-/// False where all have joined. Guards against sending a proxy away whose joining has come and has not been
-/// read, as while a whole fleet dials: what each has sent is read before it is judged.
-fn send_oldest_away(pilot: &Pilot) -> bool {
+/// Closes the oldest connection that has not joined; false if all have. Reads its pending input first, since the
+/// join message of a proxy may still be unread while a whole fleet connects.
+fn close_oldest_unjoined(pilot: &Pilot) -> bool {
     while let Some(oldest) = pilot.connections.oldest_unjoined() {
         let ended = read_now(&oldest, pilot).is_some();
         if ended || !oldest.joined.get() {
             oldest.close();
-            pilot.connections.open.borrow_mut().remove(&oldest.number);
-            pilot.connections.unjoined.borrow_mut().remove(&oldest.number);
+            pilot.connections.open.borrow_mut().remove(&oldest.id);
+            pilot.connections.unjoined.borrow_mut().remove(&oldest.id);
             return true;
         }
     }
     false
 }
 
+/// Accepts connections and starts a task for each, without end.
 pub async fn accept(socket: Async<TcpListener>, pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>) {
-    let mut trouble = None;
+    let mut last_error = None;
     loop {
         let accepted = socket.read_with(|socket| socket.accept()).await;
         match accepted.and_then(|(stream, _)| Async::new(stream)) {
             Ok(stream) => {
-                trouble = None;
-                // Orders are small and must not wait for one another's acknowledgements.
+                last_error = None;
+                // Table updates are small and must not be delayed by Nagle's algorithm.
                 drop(stream.get_ref().set_nodelay(true));
                 if make_room(&pilot) {
-                    let peer = pilot.connections.enter(stream);
+                    let peer = pilot.connections.add(stream);
                     executor.spawn(serve(peer, pilot.clone())).detach();
                 } else {
                     pilot.controller.borrow_mut().counts.full += 1;
                     drop(stream.get_ref().write(REFUSED));
                 }
-                // Guards against a fleet that dials at once: those accepted are read, and those sent away
-                // give their descriptors back, before the next one is taken.
+                // Lets the tasks of accepted connections read and those of closed ones release their descriptors
+                // before the next accept, which matters when a whole fleet connects at once.
                 future::yield_now().await;
             }
-            // Whoever dialled is gone again, and that is nobody else's fault.
+            // The client has disconnected before the accept; other connections are not affected.
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {
                 future::yield_now().await;
             }
-            // Guards against limits that are lower than the configuration says: strangers must not hold the
-            // last descriptor. One line of the log for as long as it lasts.
+            // The system's limit may be lower than the configured one. If descriptors run out, unknown clients must
+            // not hold the last ones. The same error is logged once until an accept succeeds.
             Err(e) => {
-                if trouble.replace(e.kind()) != Some(e.kind()) {
-                    tracing::warn!(%e, "not accepted");
+                if last_error.replace(e.kind()) != Some(e.kind()) {
+                    tracing::warn!(%e, "accept failed");
                 }
-                let full = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-                if Errno::from_io_error(&e).is_some_and(|errno| full.contains(&errno)) {
-                    send_oldest_away(&pilot);
+                let exhausted = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+                if Errno::from_io_error(&e).is_some_and(|errno| exhausted.contains(&errno)) {
+                    close_oldest_unjoined(&pilot);
                 }
-                Timer::after(Duration::from_secs_f64(PAUSE)).await;
+                Timer::after(Duration::from_secs_f64(ACCEPT_RETRY_DELAY)).await;
             }
         }
     }
 }
 
-/// Answers what has come on all connections, and waits until it is written, for as long as that may take at the end.
+/// Answers what has arrived on all connections and waits up to [`SHUTDOWN_GRACE`] until the answers are written.
 ///
-/// Without it, requests that came before the end was asked for lie unread and are reset with their connections, as the
-/// signal is taken up before the sockets are. One that does not read holds the end up for `LAST_ANSWERS`, and no longer.
+/// The signal to shut down is handled before the sockets. Without this, requests sent before the signal would stay
+/// unread, and their connections would be reset.
 pub async fn finish(pilot: &Pilot) {
     let open: Vec<Rc<Peer>> = pilot.connections.open.borrow().values().cloned().collect();
     for peer in open.iter().filter(|peer| !peer.closed.get()) {
-        // What can't be read or written now is the connection's own task's.
+        // The connection's own task handles errors and output that can't be written yet.
         let _ = read_now(peer, pilot);
         let _ = peer.flush();
     }
@@ -270,30 +276,30 @@
         for peer in &open {
             loop {
                 let listener = peer.drained.listen();
-                if peer.held.get() == 0 {
+                if peer.queued.get() == 0 {
                     break;
                 }
                 listener.await;
             }
         }
     };
-    future::or(drained, Timer::after(Duration::from_secs_f64(LAST_ANSWERS))).await;
+    future::or(drained, Timer::after(Duration::from_secs_f64(SHUTDOWN_GRACE))).await;
 }
 
 /// Why a connection ends.
 enum End {
-    /// By whoever dialled, or by the network.
-    Theirs,
-    /// Sent away.
+    /// The peer or the network has closed it.
+    ByPeer,
+    /// It did not join in time, or sent something invalid.
     Refused,
-    /// Closed from elsewhere.
-    Ours,
+    /// Another task of the pilot has closed it with [`Peer::close`].
+    Closed,
 }
 
 async fn serve(peer: Rc<Peer>, pilot: Rc<Pilot>) {
     let deadline = async {
-        Timer::after(Duration::from_secs_f64(JOIN_WITHIN)).await;
-        // What came in time counts, also where it has not been read by now.
+        Timer::after(Duration::from_secs_f64(JOIN_TIMEOUT)).await;
+        // A join message that arrived in time counts even if it has not been read yet.
         if let Some(end) = read_now(&peer, &pilot) {
             return end;
         }
@@ -303,107 +309,107 @@
         pilot.controller.borrow_mut().counts.refused += 1;
         End::Refused
     };
-    let end = future::or(hear(&peer, &pilot), future::or(speak(&peer), deadline)).await;
+    let end = future::or(receive(&peer, &pilot), future::or(transmit(&peer), deadline)).await;
     let joined = peer.joined.get();
-    // What is owed goes out before the end, as far as whoever dialled takes it: one that does not read holds
-    // nobody up. On a stream that gave way to another, or fell silent, nothing is owed.
-    let owed = !(joined && matches!(end, End::Ours));
-    let flushed = owed && peer.flush().is_ok();
-    // Guards against a byte for a collector that is sent away or replaced, which has no use for any.
-    if !joined && flushed && !matches!(end, End::Theirs) {
-        // Where it can't be written at once, the end of the connection says the same.
+    // Queued answers are written before the end, as far as possible without blocking. A stream that was replaced or
+    // timed out gets none.
+    let flush = !(joined && matches!(end, End::Closed));
+    let flushed = flush && peer.flush().is_ok();
+    // Collectors expect no bytes, so a joined connection gets no refusal.
+    if !joined && flushed && !matches!(end, End::ByPeer) {
+        // A failed write is harmless: the end of the connection tells the peer the same.
         drop(peer.stream.get_ref().write(REFUSED));
     }
-    pilot.connections.leave(&peer);
-    pilot.controller.borrow_mut().ended(peer.number);
-    pilot.tell();
+    pilot.connections.remove(&peer);
+    pilot.controller.borrow_mut().disconnected(peer.id);
+    pilot.wake();
 }
 
-async fn hear(peer: &Peer, pilot: &Pilot) -> End {
+async fn receive(peer: &Peer, pilot: &Pilot) -> End {
     loop {
-        // One that was sent away in this turn is not heard any more: it would join and be gone.
+        // A connection closed in this turn is not read any more, as it could join now and be gone at once.
         if peer.closed.get() {
-            return End::Ours;
+            return End::Closed;
         }
         match read(peer, pilot) {
-            // One that never stops sending must leave turns to the others.
+            // A peer that never stops sending must not starve the others.
             Ok(None) => future::yield_now().await,
             Ok(Some(end)) => return end,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => peer.stream.readable().await,
-            Err(_) => return End::Theirs,
+            Err(_) => return End::ByPeer,
         }
     }
 }
 
-/// Takes in what can be read at once, without waiting; tells where that was the end.
+/// Reads and handles one buffer of input without blocking. Returns the reason if the connection ends there.
 fn read_now(peer: &Peer, pilot: &Pilot) -> Option<End> {
     match read(peer, pilot) {
         Ok(end) => end,
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => None,
-        Err(_) => Some(End::Theirs),
+        Err(_) => Some(End::ByPeer),
     }
 }
 
-/// Takes in a buffer of what can be read; tells where that was the end.
+/// Reads and handles one buffer of input. Returns the reason if the connection ends there.
 fn read(peer: &Peer, pilot: &Pilot) -> io::Result<Option<End>> {
     let mut buffer = pilot.connections.buffer.borrow_mut();
     Ok(match peer.stream.get_ref().read(&mut buffer)? {
-        0 => Some(End::Theirs),
-        n if take(peer, &buffer[..n], pilot) => None,
+        0 => Some(End::ByPeer),
+        n if handle_input(peer, &buffer[..n], pilot) => None,
         _ => Some(End::Refused),
     })
 }
 
-/// Takes in bytes; false where the connection may not go on.
-fn take(peer: &Peer, bytes: &[u8], pilot: &Pilot) -> bool {
-    let (now, mut good) = (pilot.clock.now(), true);
-    let mut begun = peer.begun.borrow_mut();
-    let kept = begun.kept();
-    let most = pilot.connections.longest(kept);
-    let longest = || if peer.joined.get() { most } else { LONGEST_FIRST };
-    let cut = begun.cut(bytes, longest, |line| {
-        let reaction = pilot.controller.borrow_mut().line(peer.number, line, now);
+/// Splits bytes into messages and handles them. False if the connection must be closed.
+fn handle_input(peer: &Peer, bytes: &[u8], pilot: &Pilot) -> bool {
+    let (now, mut valid) = (pilot.clock.now(), true);
+    let mut input = peer.input.borrow_mut();
+    let kept = input.kept();
+    let max_joined = pilot.connections.max_message_bytes(kept);
+    let max_bytes = || if peer.joined.get() { max_joined } else { LONGEST_FIRST };
+    let cut = input.cut(bytes, max_bytes, |line| {
+        let reaction = pilot.controller.borrow_mut().handle_line(peer.id, line, now);
         match reaction {
             Reaction::Nothing => {}
             Reaction::Answer(bytes) => {
-                good = peer.say(bytes.into());
+                valid = peer.queue(bytes.into());
                 if !pilot.is_ready.replace(true) {
-                    tracing::info!(after_s = pilot.clock.age(), "ready");
+                    tracing::info!(after_s = pilot.clock.elapsed(), "ready");
                 }
             }
             Reaction::Joined(replaced) => {
-                pilot.connections.has_joined(peer);
+                pilot.connections.mark_joined(peer);
                 if let Some(old) = replaced {
                     pilot.connections.close(old);
                 }
             }
             Reaction::Refuse(why) => {
-                tracing::debug!(peer.number, %why, "sent away");
-                good = false;
+                tracing::debug!(peer.number = peer.id, %why, "connection refused");
+                valid = false;
             }
         }
-        good
+        valid
     });
-    let unfinished = &pilot.connections.unfinished;
-    unfinished.set(unfinished.get() - kept + begun.kept());
-    pilot.tell();
-    good && cut.is_ok()
+    let incomplete_bytes = &pilot.connections.incomplete_bytes;
+    incomplete_bytes.set(incomplete_bytes.get() - kept + input.kept());
+    pilot.wake();
+    valid && cut.is_ok()
 }
 
-async fn speak(peer: &Peer) -> End {
+async fn transmit(peer: &Peer) -> End {
     loop {
-        let news = peer.news.listen();
+        let wake = peer.wake.listen();
         if peer.closed.get() {
-            return End::Ours;
+            return End::Closed;
         }
         match peer.flush() {
-            Ok(()) => news.await,
+            Ok(()) => wake.await,
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                // Closing must not wait for one who does not read.
-                future::or(peer.stream.writable(), news).await
+                // A peer that does not read must not delay the close.
+                future::or(peer.stream.writable(), wake).await
             }
-            Err(_) => return End::Theirs,
+            Err(_) => return End::ByPeer,
         }
     }
 }
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -1,5 +1,5 @@
-//! A pilot on the platform without its sockets: what came in is gathered into a round, the decisions are
-//! called, and what they order becomes messages. Times are seconds on the pilot's own clock.
+//! A pilot on the platform without its sockets: collects input into a round, runs the decisions on it, and turns
+//! their actions into messages. Times are seconds on the pilot's monotonic clock.
 
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
@@ -12,58 +12,61 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What the pilot met since its start.
+/// Counters since the start of the pilot. The log shows them by these names.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub rounds: u64,
     pub messages: u64,
-    /// Queries that came to proxies, tries at servers and those of them that failed, as reported.
+    /// Reported queries at proxies, tries at servers, and failed tries among them.
     pub queries: f64,
     pub tries: f64,
     pub failed: f64,
-    /// Those that named a server which no list has named.
+    /// Reports that name a server of no list.
     pub strange: u64,
+    /// Invalid messages that were ignored.
     pub spoilt: u64,
+    /// Connections closed because they did not join in time or sent something invalid.
     pub refused: u64,
-    /// Connections sent away as all places were held by those who have joined.
+    /// Connections closed because the limit was reached and all others had joined.
     pub full: u64,
     pub joined: u64,
     pub left: u64,
-    /// Those of them that were taken for gone as they owed a word for too long.
+    /// Connections closed because they did not answer for too long.
     pub silent: u64,
     pub lists: u64,
     pub lists_missed: u64,
     pub written: u64,
-    /// ms that the longest round took.
+    /// Duration of the longest round, ms.
     pub longest_round: f64,
 }
 
-/// What is to become of a connection after a line.
+/// What to do with a connection after a line.
 #[derive(Debug, PartialEq)]
 pub enum Reaction {
     Nothing,
-    /// Write this.
+    /// Write an answer.
     Answer(&'static [u8]),
-    /// It has joined; the connection that it replaces is to be closed.
+    /// The peer has joined. Close the connection that it replaces, if any.
     Joined(Option<Connection>),
-    /// It may not go on, for this reason.
+    /// Close the connection, for this reason.
     Refuse(String),
 }
 
-/// One run of a server: where it listens, and when it started.
+/// A server process: its address and its start time.
 pub type Process = (SocketAddr, f64);
 
-/// What a round comes to.
+/// The result of a round.
 #[derive(Debug, Default)]
 pub struct Effects {
     pub messages: Vec<(Connection, Rc<[u8]>)>,
     pub checks: Vec<(Address, Process)>,
-    /// The list is to be followed, or read whole.
-    pub ask_list: bool,
-    /// Connections that have fallen silent, to be closed.
-    pub silent: Vec<Connection>,
+    /// Discovery should be followed, or the whole list be requested.
+    pub request_list: bool,
+    /// Connections that have not answered for too long and must be closed.
+    pub unresponsive: Vec<Connection>,
 }
 
+/// State of a pilot on the platform: the decisions, the sessions, and everything that feeds them.
 pub struct Controller {
     balancer: Balancer,
     names: Names,
@@ -72,12 +75,13 @@
     pub register: Register,
     round: Round,
     timers: Timers,
-    /// Servers whose health is being checked, and the process that is asked.
+    /// Servers whose health check is under way, and the process that is checked.
     checking: BTreeMap<Address, Process>,
-    /// s; how long a proxy may owe a word.
+    /// Seconds that a connection may take to answer.
     patience: f64,
     pub counts: Counts,
-    /// What the last orders went by. Between reports demand fades, so at other moments it says less.
+    /// The estimates behind the last messages. Estimated demand decays between reports, so estimates taken at other
+    /// times would be too low.
     pub beliefs: Beliefs,
 }
 
@@ -103,32 +107,33 @@
         }
     }
 
-    /// Why nobody is served, where that is so although proxies look for a pilot; `turned_away` as counted
-    /// when this was asked last.
-    pub fn idles(&self, turned_away: u64) -> Option<&'static str> {
+    /// Why no proxy holds a table although proxies try to connect; `None` otherwise. `rejected` is the value of
+    /// [`Controller::rejected`] at the last call.
+    pub fn idle_cause(&self, rejected: u64) -> Option<&'static str> {
         let joined = self.sessions.proxies().next().is_some();
-        if self.publisher.serves() || !(joined || self.turned_away() > turned_away) {
+        if self.publisher.serves() || !(joined || self.rejected() > rejected) {
             return None;
         }
         Some(match self.register.sizes() {
-            _ if !joined => "all who dial are sent away",
-            _ if self.register.version.is_none() => "no list of servers was told",
+            _ if !joined => "all connections are refused",
+            _ if self.register.version.is_none() => "no list of servers was received",
             (0, _) => "the list of servers is empty",
-            _ => "proxies have joined and hold no table: no server is open, or the channel is full",
+            _ => "the joined proxies hold no table: no server is open, or the channel is full",
         })
     }
 
+    /// Whether some proxy holds a table.
     pub fn serves(&self) -> bool {
         self.publisher.serves()
     }
 
-    /// Connections sent away so far.
-    pub fn turned_away(&self) -> u64 {
+    /// Connections refused so far.
+    pub fn rejected(&self) -> u64 {
         self.counts.refused + self.counts.full
     }
 
-    /// Takes in a line that came on a connection.
-    pub fn line(&mut self, connection: Connection, line: &[u8], now: f64) -> Reaction {
+    /// Handles a line received on a connection.
+    pub fn handle_line(&mut self, connection: Connection, line: &[u8], now: f64) -> Reaction {
         self.counts.messages += 1;
         self.sessions.hear(connection, now);
         let message = message::read(line, &self.names);
@@ -138,12 +143,12 @@
             (Ok(Message::Join(join)), None) => self.join(connection, &join, now),
             (Ok(_), None) => self.refuse("a report before joining".to_string()),
             (Err(what), None) => self.refuse(what.to_string()),
-            // What follows on it means nothing, so whoever it was has left.
+            // Nothing after an unreadable line can be interpreted.
             (Err(Wrong::Unreadable(what)), Some(role)) => {
-                tracing::debug!(?role, %what, line = ?String::from_utf8_lossy(&line[..line.len().min(160)]), "unreadable");
+                tracing::debug!(?role, %what, line = ?String::from_utf8_lossy(&line[..line.len().min(160)]), "unreadable message");
                 self.refuse(what)
             }
-            (Err(Wrong::Spoilt(what)), Some(_)) => self.spoilt(line, &what),
+            (Err(Wrong::Spoilt(what)), Some(_)) => self.ignore(line, &what),
             (Ok(message), Some(role)) => self.report(message, connection, role, line),
         }
     }
@@ -153,10 +158,11 @@
         Reaction::Refuse(why)
     }
 
-    fn spoilt(&mut self, line: &[u8], what: &str) -> Reaction {
+    /// Ignores an invalid message.
+    fn ignore(&mut self, line: &[u8], what: &str) -> Reaction {
         self.counts.spoilt += 1;
         let line = String::from_utf8_lossy(&line[..line.len().min(200)]);
-        tracing::debug!(%what, %line, "message left aside");
+        tracing::debug!(%what, %line, "invalid message ignored");
         Reaction::Nothing
     }
 
@@ -165,7 +171,7 @@
             Joining::New(replaced) => replaced,
             Joining::Again => return Reaction::Nothing,
             Joining::Outdated => {
-                return self.refuse("a later connection has joined in its place".to_string())
+                return self.refuse("a newer connection has joined as this proxy or collector".to_string())
             }
         };
         self.counts.joined += 1;
@@ -193,8 +199,8 @@
                     });
                 }
             },
-            // Usage comes by any collector, or on the proxy's own stream.
-            (Message::Queries(queries), role) if role_speaks_for(role, queries.proxy) => {
+            // Any collector may report a proxy's queries, as may the proxy itself.
+            (Message::Queries(queries), role) if may_report_for(role, queries.proxy) => {
                 self.counts.queries += queries.came;
                 self.round.queries.push(queries)
             }
@@ -202,17 +208,17 @@
                 if acknowledgement.proxy == proxy =>
             {
                 if !self.sessions.answer(connection, acknowledgement.number) {
-                    return self.spoilt(line, "no mark that was written on this stream");
+                    return self.ignore(line, "the mark was not written on this stream");
                 }
                 self.round.acknowledgements.push(acknowledgement)
             }
-            _ => return self.spoilt(line, "not for whoever joined here to say"),
+            _ => return self.ignore(line, "the sender's role may not send this message"),
         }
         Reaction::Nothing
     }
 
-    /// A connection ended.
-    pub fn ended(&mut self, connection: Connection) {
+    /// Takes in that a connection has ended.
+    pub fn disconnected(&mut self, connection: Connection) {
         if let Some(proxy) = self.sessions.leave(connection) {
             self.counts.left += 1;
             self.publisher.forget(proxy);
@@ -220,32 +226,34 @@
         }
     }
 
-    /// A list of servers, or news of it. Errors: it is older than what is held, or nothing in it can be used.
-    pub fn list(&mut self, document: &PlatformDocument, origin: Origin) -> Result<(), String> {
+    /// Takes in a list of servers or changes to it. Fails if it is older than the current list, or if nothing in it
+    /// is usable.
+    pub fn take_list(&mut self, document: &PlatformDocument, origin: Origin) -> Result<(), String> {
         let list = self.register.take(document, origin)?;
         if !document.mistakes.is_empty() {
-            tracing::warn!(mistakes = document.mistakes.join("; "), "list of servers read in part");
+            tracing::warn!(mistakes = document.mistakes.join("; "), "invalid entries in the list of servers");
         }
         self.counts.lists += 1;
-        // A watch that ended without news says nothing that a round should take up.
+        // A watch that ended without changes needs no round.
         if list.news != ListNews::Changes || !list.entries.is_empty() {
             self.round.lists.push(list);
         }
         Ok(())
     }
 
-    pub fn list_missed(&mut self, is_news: bool) {
+    /// Takes in that a request for the list has failed; `report` passes the failure to the decisions.
+    pub fn record_list_failure(&mut self, report: bool) {
         self.counts.lists_missed += 1;
-        if is_news {
+        if report {
             self.round.lists.push(List { news: ListNews::Failed, entries: Vec::new() });
         }
     }
 
-    /// A process that was checked has answered, or has not.
+    /// Takes in the result of a health check.
     ///
-    /// Guards against an answer that counts for another: while it was under way the server may have been
-    /// removed, or replaced under the same name, which is then checked by itself.
-    pub fn checked(&mut self, server: Address, process: Process, fine: bool) {
+    /// During the check the server may have been removed, or replaced by another process under the same name, which
+    /// gets a check of its own. The result is ignored then.
+    pub fn record_check(&mut self, server: Address, process: Process, fine: bool) {
         if self.checking.get(&server) == Some(&process) {
             self.checking.remove(&server);
             if self.register.process(server) == Some(process) {
@@ -254,23 +262,23 @@
         }
     }
 
-    fn has_news(&self) -> bool {
+    fn has_input(&self) -> bool {
         let r = &self.round;
-        let quiet = r.lists.is_empty() && r.streams.is_empty() && r.queries.is_empty();
-        !(quiet
+        let empty = r.lists.is_empty() && r.streams.is_empty() && r.queries.is_empty();
+        !(empty
             && r.tries.is_empty()
             && r.health.is_empty()
             && r.acknowledgements.is_empty()
             && r.timers.is_empty())
     }
 
-    /// Takes up what came in and what is due by now, and calls the decisions where there is any.
+    /// Runs a round if there is input or a timer is due.
     pub fn step(&mut self, now: f64) -> Effects {
         self.round.timers = self.timers.due(now);
-        if self.counts.rounds > 0 && !self.has_news() {
+        if self.counts.rounds > 0 && !self.has_input() {
             return Effects::default();
         }
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let mut round = std::mem::take(&mut self.round);
         round.now = now;
         self.counts.rounds += 1;
@@ -283,14 +291,15 @@
         for note in actions.notes {
             tracing::info!(note);
         }
-        // Between reports demand fades and says less; without anybody to write to there is none to fade.
+        // Taken when messages are written, as estimated demand decays between reports. With no proxy served there is
+        // no demand to decay, and the log still shows the listed servers.
         if !messages.is_empty() || !self.publisher.serves() {
             self.beliefs = self.balancer.beliefs(now);
         }
         let due = |server| Some((server, self.register.process(server)?));
         let checks: Vec<_> = actions.checks.into_iter().filter_map(due).collect();
         let is_new = |(server, process): &(Address, Process)| {
-            self.checking.insert(*server, *process).is_none_or(|under_way| under_way != *process)
+            self.checking.insert(*server, *process).is_none_or(|previous| previous != *process)
         };
         let checks = checks.into_iter().filter(is_new).collect();
         let to = |(proxy, bytes)| Some((self.sessions.of(proxy)?, bytes));
@@ -299,19 +308,20 @@
             self.sessions.ask(*connection, mark, now);
         }
         self.counts.written += messages.len() as u64;
-        let silent = self.sessions.silent(now, self.patience);
-        self.counts.silent += silent.len() as u64;
-        self.counts.longest_round = self.counts.longest_round.max(begun.elapsed().as_secs_f64() * 1e3);
-        Effects { messages, checks, ask_list: actions.follow || actions.fetch, silent }
+        let unresponsive = self.sessions.silent(now, self.patience);
+        self.counts.silent += unresponsive.len() as u64;
+        self.counts.longest_round = self.counts.longest_round.max(started.elapsed().as_secs_f64() * 1e3);
+        Effects { messages, checks, request_list: actions.follow || actions.fetch, unresponsive }
     }
 
-    /// When [`Controller::step`] has something to do next, if nothing comes in before.
+    /// When [`Controller::step`] is next due without further input.
     pub fn next_at(&self) -> Option<f64> {
         self.timers.next_at()
     }
 }
 
-fn role_speaks_for(role: Role, proxy: u16) -> bool {
+/// Whether a role may report the queries of a proxy.
+fn may_report_for(role: Role, proxy: u16) -> bool {
     match role {
         Role::Collector(_) => true,
         Role::Proxy(own) => own == proxy,
--- a/pilot/src/platform/lists.rs
+++ b/pilot/src/platform/lists.rs
@@ -1,4 +1,4 @@
-//! Follows discovery: the whole list once, then a watch on what changes.
+//! Follows discovery: requests the whole list of servers once, then watches for changes.
 
 use super::Pilot;
 use futures_lite::future;
@@ -7,122 +7,125 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// s; a watch waits so long for news. Short, as a connection that fell silent shows only after it.
-const WAIT: f64 = 2.0;
-/// s; an agent on the same machine answers at once, or not at all.
+/// Seconds that a watch waits for changes. Short, because a dead connection is noticed only after this time.
+const WATCH_WAIT: f64 = 2.0;
+/// Seconds to wait for an answer beyond the watch's own wait. The agent runs on the same machine and answers at once
+/// or not at all.
 const PATIENCE: f64 = 1.0;
-/// s; between an answer and the next call: a watch goes on only where that comes soon, and one that
-/// answers at once without end must not take all of the core.
-const PAUSE: f64 = 0.02;
-/// s; after a call that failed at once, as while an address is new; twice as long after each further one, up
-/// to the longest: what is told must be taken up within seconds.
-const PAUSE_FAILED: f64 = 0.1;
-const LONGEST_PAUSE: f64 = 0.8;
+/// Seconds between an answer and the next request. Short, so that the watch continues; not 0, so that a source that
+/// always answers at once does not take up the whole core.
+const REQUEST_DELAY: f64 = 0.02;
+/// Seconds before a retry after a failure, for example while the address is not yet served. The delay doubles with
+/// each further failure up to the maximum, as changes must be taken up within seconds.
+const RETRY_DELAY: f64 = 0.1;
+const MAX_RETRY_DELAY: f64 = 0.8;
 
-/// s; a source that has told nothing but older versions for so long counts them anew: by the protocol what it
-/// has to tell comes 6 s later at the latest, so one that lags has caught up by then.
-const LAGS: f64 = 6.0;
+/// Seconds of only older versions after which the source's versions are taken to have been restarted. The protocol
+/// delivers changes within 6 s, so a source that merely lags has caught up by then.
+const MAX_SOURCE_LAG: f64 = 6.0;
 
-/// What of the list is to be asked for next, and how soon.
-struct Course {
-    /// All of it, and not only what is newer.
+/// State of the requests to discovery.
+struct Follower {
+    /// Whether the next request is for the whole list, not only for changes.
     whole: bool,
-    /// What could not be used of the last list that had any such entry.
+    /// The invalid entries of the last list.
     mistakes: Vec<String>,
-    /// Since when only older versions are told.
+    /// Since when the source has sent only older versions.
     older_since: Option<f64>,
-    pause_failed: f64,
-    trouble: String,
+    retry_delay: f64,
+    /// The last failure, so that a repeated one is logged once; empty after a success.
+    last_error: String,
 }
 
-impl Course {
-    /// Takes in a document. Errors: it is of no use.
+impl Follower {
+    /// Passes a document to the controller. Fails if it is unusable.
     fn take(&mut self, document: &PlatformDocument, pilot: &Pilot) -> Result<(), String> {
         let (mut controller, now) = (pilot.controller.borrow_mut(), pilot.clock.now());
         let older = controller.register.is_older(document);
         let since = *self.older_since.get_or_insert(now);
-        let anew = older && document.whole && now - since > LAGS;
-        if !older || anew {
+        let restarted = older && document.whole && now - since > MAX_SOURCE_LAG;
+        if !older || restarted {
             self.older_since = None;
         }
-        if anew {
+        if restarted {
             tracing::warn!(
                 version = document.version,
                 held = controller.register.version,
-                "versions start anew"
+                "the source has restarted its versions"
             );
         }
-        controller.list(document, if anew { Origin::Anew } else { Origin::Told })
+        controller.take_list(document, if restarted { Origin::Anew } else { Origin::Told })
     }
 
-    /// Goes on after an answer; tells whether it was of use, and how long to wait before the next call.
-    fn after(&mut self, answer: Result<PlatformDocument, Missed>, pilot: &Pilot) -> (bool, f64) {
+    /// Handles an answer. Returns whether it was usable and the delay before the next request.
+    fn handle(&mut self, answer: Result<PlatformDocument, Missed>, pilot: &Pilot) -> (bool, f64) {
         let taken = answer.and_then(|document| match self.take(&document, pilot) {
             Ok(()) => Ok(document),
             Err(what) => Err(Missed { what, answered: true }),
         });
         match taken {
             Ok(document) => {
-                if !std::mem::take(&mut self.trouble).is_empty() {
-                    tracing::info!(version = document.version, "list of servers is told again");
+                if !std::mem::take(&mut self.last_error).is_empty() {
+                    tracing::info!(version = document.version, "list of servers received again");
                 }
-                // Guards against a change that is lost because its entry could not be used and the version
-                // has moved on: all is read anew. What is wrong with it then too is not the way's fault, and
-                // is left.
+                // An invalid entry of an update would be lost, as the version has advanced past it, so the whole
+                // list is requested. Entries that are still invalid there are invalid at the source and accepted
+                // as such.
                 let known = document.whole && document.mistakes == self.mistakes;
                 self.whole = !document.mistakes.is_empty() && !known;
                 self.mistakes = document.mistakes;
-                self.pause_failed = PAUSE_FAILED;
-                (true, if self.whole { PAUSE_FAILED } else { PAUSE })
+                self.retry_delay = RETRY_DELAY;
+                (true, if self.whole { RETRY_DELAY } else { REQUEST_DELAY })
             }
             Err(Missed { what, answered }) => {
-                // Guards against asking for ever for what is newer than a version of which the source knows
-                // nothing, or which it tells changes to that are of no use: all of the list says more.
+                // The source may not know the version that changes are requested for, or may send unusable changes.
+                // Requesting the whole list avoids repeating the same request for ever.
                 self.whole |= answered;
-                if what != self.trouble {
-                    tracing::warn!(%what, "no list of servers");
-                    self.trouble = what;
+                if what != self.last_error {
+                    tracing::warn!(%what, "reading the list of servers failed");
+                    self.last_error = what;
                 }
-                let longer = (self.pause_failed * 2.0).min(LONGEST_PAUSE);
-                (false, std::mem::replace(&mut self.pause_failed, longer))
+                let longer = (self.retry_delay * 2.0).min(MAX_RETRY_DELAY);
+                (false, std::mem::replace(&mut self.retry_delay, longer))
             }
         }
     }
 }
 
-/// Runs for ever. A list that is followed only on request is asked for where the decisions say so.
+/// Follows discovery without end. Unless `always` is set, requests the list only when the decisions ask for it.
 pub async fn follow(pilot: Rc<Pilot>, zones: Vec<String>, always: bool) {
     let (mut following, mut watch) = (always, Watch::default());
-    let mut course = Course {
+    let mut follower = Follower {
         whole: true,
         mistakes: Vec::new(),
         older_since: None,
-        pause_failed: PAUSE_FAILED,
-        trouble: String::new(),
+        retry_delay: RETRY_DELAY,
+        last_error: String::new(),
     };
     loop {
-        let told = pilot.told_to_ask.listen();
-        if pilot.ask_anew.take() {
-            (course.whole, following) = (true, true);
+        let requested = pilot.list_requested.listen();
+        if pilot.request_whole_list.take() {
+            (follower.whole, following) = (true, true);
         }
         if !following {
-            told.await;
+            requested.await;
             continue;
         }
-        let after = pilot.controller.borrow().register.version.filter(|_| !course.whole);
-        let asked = async { Some(watch.ask(pilot.discovery.get(), after, &zones, (WAIT, PATIENCE)).await) };
-        let told_anew = async {
-            told.await;
+        let after = pilot.controller.borrow().register.version.filter(|_| !follower.whole);
+        let wait = (WATCH_WAIT, PATIENCE);
+        let answer = async { Some(watch.ask(pilot.discovery.get(), after, &zones, wait).await) };
+        let interrupted = async {
+            requested.await;
             None
         };
-        // An answer that is there when discovery has moved is of the old one, and is left.
-        let Some(answer) = future::or(told_anew, asked).await else { continue };
-        let (taken, pause) = course.after(answer, &pilot);
-        if !taken {
-            pilot.controller.borrow_mut().list_missed(!always);
+        // If discovery has moved, an answer that is already there comes from the old address and is dropped.
+        let Some(answer) = future::or(interrupted, answer).await else { continue };
+        let (usable, delay) = follower.handle(answer, &pilot);
+        if !usable {
+            pilot.controller.borrow_mut().record_list_failure(!always);
             following = always;
         }
-        pilot.tell();
-        Timer::after(Duration::from_secs_f64(pause)).await;
+        pilot.wake();
+        Timer::after(Duration::from_secs_f64(delay)).await;
     }
 }
--- a/pilot/src/platform/mod.rs
+++ b/pilot/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The pilot on the operators' platform: its sockets, and the loop that keeps its rounds.
+//! The pilot on the operators' platform: its sockets and its main loop, which runs the rounds.
 //!
-//! `configuration` reads what a pilot is told at its start, `connections` hears and speaks to proxies and
-//! collectors, `lists` follows discovery; `controller` gathers what they bring into rounds and knows no sockets.
-//! All run on one thread.
+//! `configuration` reads the configuration file, `connections` exchanges messages with proxies and collectors,
+//! `lists` follows discovery, and `controller` collects their input into rounds and uses no sockets. All run on one
+//! thread.
 
 mod configuration;
 mod connections;
@@ -33,67 +33,69 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors that are not connections of proxies and strangers: standard streams, the reactor's, the
-/// listener, signals, calls to discovery and checks, with a few to spare.
+/// File descriptors reserved for other purposes than accepted connections: standard streams, the reactor, the
+/// listener, signals, requests to discovery and health checks, with a few to spare.
 const OWN_DESCRIPTORS: usize = 32;
-/// Descriptors below which a pilot could take nobody in.
-const LEAST_SOCKETS: usize = OWN_DESCRIPTORS + connections::NEWCOMERS + 1;
-/// One part in so many of the memory may be held by messages that have begun and not ended.
-const UNFINISHED_PART: usize = 4;
-/// Health checks under way at once, each a descriptor.
-const CHECKS_AT_ONCE: usize = 8;
-/// What is asked of a server to see whether it runs.
+/// With fewer file descriptors a pilot could accept no connection.
+const MIN_SOCKETS: usize = OWN_DESCRIPTORS + connections::EXTRA_CONNECTIONS + 1;
+/// Incomplete messages may take up the memory limit divided by this.
+const INCOMPLETE_MEMORY_DIVISOR: usize = 4;
+/// Concurrent health checks, each of which uses a descriptor.
+const MAX_CHECKS: usize = 8;
+/// The path that health checks request.
 const HEALTH: &str = "/health";
-/// Connection times; an answer to a check takes a few at most, or is as good as none.
-const CHECK_PATIENCE: f64 = 3.0;
-/// s; between lines of the log that tell what the pilot sees.
-const TELL_EVERY: f64 = 5.0;
+/// Timeout of a health check as a multiple of the connect timeout. A later answer is as good as none.
+const CHECK_TIMEOUT_FACTOR: f64 = 3.0;
+/// Seconds between log lines with counters and estimates.
+const STATUS_LOG_PERIOD: f64 = 5.0;
 
-/// What the tasks of the pilot's one thread share. No borrow is held across a wait.
+/// State shared by the tasks of the pilot's single thread. No borrow is held across an await.
 struct Pilot {
     clock: Clock,
     controller: RefCell<Controller>,
     connections: Connections,
     discovery: Cell<SocketAddr>,
-    /// It has answered a heartbeat.
+    /// Whether the pilot has answered a heartbeat.
     is_ready: Cell<bool>,
-    /// Something came in that a round should take up.
-    news: Event,
-    /// The list is to be asked for anew, and whole; kept here as nobody may be listening when it is told.
-    ask_anew: Cell<bool>,
-    told_to_ask: Event,
+    /// Notified when there is input for a round.
+    input: Event,
+    /// Set when the whole list must be requested. Kept beside the event, which is lost if no task listens.
+    request_whole_list: Cell<bool>,
+    list_requested: Event,
 }
 
 impl Pilot {
-    fn tell(&self) {
-        self.news.notify(usize::MAX);
+    /// Wakes the main loop to run a round.
+    fn wake(&self) {
+        self.input.notify(usize::MAX);
     }
 
-    fn ask_list(&self) {
-        self.ask_anew.set(true);
-        self.told_to_ask.notify(usize::MAX);
+    /// Has the whole list of servers requested from discovery.
+    fn request_list(&self) {
+        self.request_whole_list.set(true);
+        self.list_requested.notify(usize::MAX);
     }
 }
 
-async fn rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>, names: oatlever_instance::Names) {
-    let probes = Rc::new(Probes::new(CHECKS_AT_ONCE));
-    let (tick, patience) = (Duration::from_secs_f64(names.tick), names.connect_within * CHECK_PATIENCE);
+async fn run_rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>, names: oatlever_instance::Names) {
+    let probes = Rc::new(Probes::new(MAX_CHECKS));
+    let (tick, patience) = (Duration::from_secs_f64(names.tick), names.connect_within * CHECK_TIMEOUT_FACTOR);
     loop {
-        let listener = pilot.news.listen();
+        let listener = pilot.input.listen();
         let now = pilot.clock.now();
-        let done = pilot.controller.borrow_mut().step(now);
-        for (connection, bytes) in done.messages {
-            pilot.connections.say(connection, bytes);
+        let effects = pilot.controller.borrow_mut().step(now);
+        for (connection, bytes) in effects.messages {
+            pilot.connections.send(connection, bytes);
         }
-        for (server, process) in done.checks {
+        for (server, process) in effects.checks {
             executor.spawn(check(pilot.clone(), server, process, probes.clone(), patience)).detach();
         }
-        for connection in done.silent {
-            tracing::info!(connection, "fell silent");
+        for connection in effects.unresponsive {
+            tracing::info!(connection, "connection closed: no answer in time");
             pilot.connections.close(connection);
         }
-        if done.ask_list {
-            pilot.ask_list();
+        if effects.request_list {
+            pilot.request_list();
         }
         let next = pilot.controller.borrow().next_at();
         let wait = async {
@@ -103,33 +105,33 @@
             }
         };
         future::or(wait, listener).await;
-        // What comes within a tick is one round's.
+        // All input within a tick is handled in one round.
         Timer::after(tick).await;
     }
 }
 
 async fn check(pilot: Rc<Pilot>, server: Address, process: Process, probes: Rc<Probes>, patience: f64) {
     let fine = probes.is_fine::<Alone>(process.0, HEALTH.to_string(), patience).await;
-    pilot.controller.borrow_mut().checked(server, process, fine);
-    pilot.tell();
+    pilot.controller.borrow_mut().record_check(server, process, fine);
+    pilot.wake();
 }
 
-/// Takes up a replaced configuration; of it only discovery's address can change under a running pilot.
+/// Reloads the configuration; true on success. Only the address of discovery can change while a pilot runs.
 ///
-/// Guards against the file of another deployment, whose discovery lists servers that no proxy here may be
-/// sent to.
+/// Refuses a file with other zones or classes: it belongs to another deployment, and discovery there lists servers
+/// that this pilot's proxies must not use.
 fn reload(pilot: &Pilot, path: &Path, names: &oatlever_instance::Names) -> bool {
-    let ours =
-        |fresh: &Configuration| (&fresh.names.zones, &fresh.names.classes) == (&names.zones, &names.classes);
-    let fresh = Configuration::load(path).and_then(|fresh| match ours(&fresh) {
-        true => Ok(fresh),
+    let same_deployment =
+        |new: &Configuration| (&new.names.zones, &new.names.classes) == (&names.zones, &names.classes);
+    let loaded = Configuration::load(path).and_then(|new| match same_deployment(&new) {
+        true => Ok(new),
         false => Err(format!("{}: `settings` has other zones or classes", path.display())),
     });
-    match fresh {
-        Ok(fresh) => {
-            tracing::info!(discovery = %fresh.discovery, "configuration taken up");
-            pilot.discovery.set(fresh.discovery);
-            pilot.ask_list();
+    match loaded {
+        Ok(new) => {
+            tracing::info!(discovery = %new.discovery, "configuration taken up");
+            pilot.discovery.set(new.discovery);
+            pilot.request_list();
             true
         }
         Err(what) => {
@@ -139,100 +141,102 @@
     }
 }
 
-/// Times that a configuration is read again which is not whole yet, and s between them.
-const RELOADS: usize = 10;
-const RELOAD_PAUSE: f64 = 0.1;
+/// Attempts to reload a configuration file that may not be completely written yet, and seconds between them.
+const RELOAD_ATTEMPTS: usize = 10;
+const RELOAD_DELAY: f64 = 0.1;
 
-/// What a pilot has before it has read anything.
-pub struct Begun {
-    /// Bytes that come as it is told to end, and as its configuration is replaced.
-    ends: UnixStream,
-    reloads: UnixStream,
+/// Signal handlers and the clock, set up before the configuration is read.
+pub struct Startup {
+    /// Receives a byte for each SIGTERM or SIGINT.
+    terminate: UnixStream,
+    /// Receives a byte for each SIGHUP.
+    reload: UnixStream,
     clock: Clock,
 }
 
-/// To be called before anything else: a signal that comes earlier ends the process by itself, and one that
-/// comes between this and the loop is taken up there.
-pub fn begin() -> Result<Begun, String> {
-    let caught = |signals: &[i32]| -> io::Result<UnixStream> {
-        let (hears, told) = UnixStream::pair()?;
-        for signal in signals {
-            pipe::register(*signal, told.try_clone()?)?;
-        }
-        Ok(hears)
-    };
-    let both = caught(&[SIGTERM, SIGINT]).and_then(|ends| Ok((ends, caught(&[SIGHUP])?)));
-    let (ends, reloads) = both.map_err(|e| format!("signals: {e}"))?;
-    Ok(Begun { ends, reloads, clock: Clock::unix() })
+impl Startup {
+    /// Must be called first: an earlier signal ends the process by its default action, and a later one is queued
+    /// for the main loop.
+    pub fn new() -> Result<Self, String> {
+        let register = |signals: &[i32]| -> io::Result<UnixStream> {
+            let (receiver, sender) = UnixStream::pair()?;
+            for signal in signals {
+                pipe::register(*signal, sender.try_clone()?)?;
+            }
+            Ok(receiver)
+        };
+        let both = register(&[SIGTERM, SIGINT]).and_then(|terminate| Ok((terminate, register(&[SIGHUP])?)));
+        let (terminate, reload) = both.map_err(|e| format!("signals: {e}"))?;
+        Ok(Startup { terminate, reload, clock: Clock::unix() })
+    }
 }
 
-/// Waits for a signal; several that came before it was waited for are one.
-async fn signalled(signals: &Async<UnixStream>) -> io::Result<()> {
+/// Waits for a signal; several pending ones count as one.
+async fn signal_received(signals: &Async<UnixStream>) -> io::Result<()> {
     signals.read_with(|mut signals| signals.read(&mut [0; 64])).await.map(drop)
 }
 
-/// Waits until standard input ends; for good where it can't be waited for, as it is a file.
+/// Waits until standard input ends; for ever if it is a file, which can't be waited for.
 async fn input_ended() {
     let Ok(input) = Async::new(io::stdin()) else { return future::pending().await };
     while input.read_with(|input| input.lock().read(&mut [0; 64])).await.is_ok_and(|bytes| bytes > 0) {}
 }
 
-/// Runs until SIGTERM or SIGINT, and no longer than standard input lasts where it is to end with it. Errors: what
-/// could not be started.
+/// Runs a pilot until SIGTERM or SIGINT, or until standard input ends if `end_with_input` is set. Fails if a part
+/// of it can't be started.
 pub fn run(
     configuration: Configuration,
     path: PathBuf,
-    begun: Begun,
+    startup: Startup,
     end_with_input: bool,
 ) -> Result<(), String> {
-    let Begun { ends, reloads, clock } = begun;
-    let signals = Async::new(ends).and_then(|ends| Ok((ends, Async::new(reloads)?)));
-    let (ends, reloads) = signals.map_err(|e| format!("signals: {e}"))?;
+    let Startup { terminate, reload: reload_signal, clock } = startup;
+    let signals = Async::new(terminate).and_then(|terminate| Ok((terminate, Async::new(reload_signal)?)));
+    let (terminate, reload_signal) = signals.map_err(|e| format!("signals: {e}"))?;
     let Configuration { name, listen: host, discovery, seed, sockets, memory, known, start, names } =
         configuration;
     let socket = listen(host).and_then(Async::new);
     let socket = socket.map_err(|e| format!("cannot listen on {host}: {e}"))?;
-    // The port is the system's where any is asked for by 0.
+    // The system chooses the port if the configuration has port 0.
     let host = socket.get_ref().local_addr().unwrap_or(host);
-    tracing::debug!(?start, ?names, "told");
-    let follows = !start.site.list_on_request;
+    tracing::debug!(?start, ?names, "settings of the instance");
+    let follow_always = !start.site.list_on_request;
     let mut controller = Controller::new(start, &names, seed);
-    // Guards against a start that is refused for what discovery tells anew anyway.
-    if let Err(what) = controller.list(&known, Origin::Cached) {
-        tracing::warn!(%what, "known list left aside");
+    // An unusable cached list must not prevent the start, as discovery sends a current one.
+    if let Err(what) = controller.take_list(&known, Origin::Cached) {
+        tracing::warn!(%what, "cached list of servers is unusable and ignored");
     }
     let pilot = Rc::new(Pilot {
         clock,
         controller: RefCell::new(controller),
-        connections: Connections::new(sockets - OWN_DESCRIPTORS, memory / UNFINISHED_PART),
+        connections: Connections::new(sockets - OWN_DESCRIPTORS, memory / INCOMPLETE_MEMORY_DIVISOR),
         discovery: Cell::new(discovery),
         is_ready: Cell::new(false),
-        news: Event::new(),
-        ask_anew: Cell::new(false),
-        told_to_ask: Event::new(),
+        input: Event::new(),
+        request_whole_list: Cell::new(false),
+        list_requested: Event::new(),
     });
     let executor = Rc::new(LocalExecutor::new());
     tracing::info!(%name, %host, %discovery, sockets, "serving the platform");
-    let ran = oatlever_reactor::block_on(executor.run(async {
+    let result = oatlever_reactor::block_on(executor.run(async {
         let tasks = [
-            executor.spawn(rounds(pilot.clone(), executor.clone(), names.clone())),
-            executor.spawn(lists::follow(pilot.clone(), names.zones.clone(), follows)),
+            executor.spawn(run_rounds(pilot.clone(), executor.clone(), names.clone())),
+            executor.spawn(lists::follow(pilot.clone(), names.zones.clone(), follow_always)),
             executor.spawn(connections::accept(socket, pilot.clone(), executor.clone())),
-            executor.spawn(tell_counts(pilot.clone())),
+            executor.spawn(log_status(pilot.clone())),
         ];
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            // A configuration is tried again beside the wait for signals: the one to end must not wait for
-            // it.
-            let again = async {
-                if tries == 0 {
+            // Retries of a reload run beside the wait for signals, so that they don't delay a shutdown.
+            let retry = async {
+                if attempts == 0 {
                     future::pending::<()>().await;
                 }
-                Timer::after(Duration::from_secs_f64(RELOAD_PAUSE)).await;
-                Ok(Some(tries - 1))
+                Timer::after(Duration::from_secs_f64(RELOAD_DELAY)).await;
+                Ok(Some(attempts - 1))
             };
-            let replaced = async { signalled(&reloads).await.map(|()| Some(RELOADS)) };
-            let told = async { signalled(&ends).await.map(|()| None) };
+            let replaced = async { signal_received(&reload_signal).await.map(|()| Some(RELOAD_ATTEMPTS)) };
+            let terminated = async { signal_received(&terminate).await.map(|()| None) };
             let input = async {
                 match end_with_input {
                     true => input_ended().await,
@@ -240,27 +244,28 @@
                 }
                 Ok(None)
             };
-            match future::or(future::or(told, input), future::or(replaced, again)).await {
-                Ok(Some(left)) => tries = left,
+            match future::or(future::or(terminated, input), future::or(replaced, retry)).await {
+                Ok(Some(left)) => attempts = left,
                 Ok(None) | Err::<_, io::Error>(_) => break,
             }
             if reload(&pilot, &path, &names) {
-                tries = 0;
+                attempts = 0;
             }
         }
         tracing::info!("asked to end");
         connections::finish(&pilot).await;
         drop(tasks);
     }));
-    ran.map_err(|e| format!("waits: {e}"))
+    result.map_err(|e| format!("reactor: {e}"))
 }
 
-async fn tell_counts(pilot: Rc<Pilot>) {
-    let (mut idle, mut turned_away) = (None, 0);
+/// Logs counters and estimates at intervals, and changes of whether any proxy is served.
+async fn log_status(pilot: Rc<Pilot>) {
+    let (mut idle, mut rejected) = (None, 0);
     loop {
-        Timer::after(Duration::from_secs_f64(TELL_EVERY)).await;
+        Timer::after(Duration::from_secs_f64(STATUS_LOG_PERIOD)).await;
         let controller = pilot.controller.borrow();
-        let cause = controller.idles(std::mem::replace(&mut turned_away, controller.turned_away()));
+        let cause = controller.idle_cause(std::mem::replace(&mut rejected, controller.rejected()));
         match (std::mem::replace(&mut idle, cause), cause) {
             (before, Some(cause)) if before != Some(cause) => tracing::warn!(cause, "serves nobody"),
             (Some(_), None) if controller.serves() => tracing::info!("serves again"),
--- a/pilot/src/probes.rs
+++ b/pilot/src/probes.rs
@@ -1,25 +1,27 @@
-//! Health checks of servers, so many at once.
+//! HTTP health checks of servers, with a limit on concurrent ones.
 
 use async_lock::Semaphore;
 use oatlever_fetch as fetch;
 use std::net::SocketAddr;
 
-/// Bytes; the body says nothing that is used.
-const MOST_BYTES: usize = 1 << 16;
+/// Largest response, in bytes; its body is not used.
+const MAX_RESPONSE_BYTES: usize = 1 << 16;
 
 pub struct Probes {
-    turns: Semaphore,
+    permits: Semaphore,
 }
 
 impl Probes {
     pub fn new(at_once: usize) -> Self {
-        Probes { turns: Semaphore::new(at_once) }
+        Probes { permits: Semaphore::new(at_once) }
     }
 
-    /// Whether a server answers 200 within `patience` seconds of its turn.
+    /// Whether a server answers with status 200 within `patience` seconds from the start of its check, which waits
+    /// for a free slot.
     pub async fn is_fine<N: fetch::Net>(&self, host: SocketAddr, path: String, patience: f64) -> bool {
-        let _turn = self.turns.acquire().await;
-        let got = fetch::get::<N>(&fetch::Place { host, path }, None, patience, MOST_BYTES).await;
-        got.is_ok_and(|answer| answer.status == 200)
+        let _permit = self.permits.acquire().await;
+        let response =
+            fetch::get::<N>(&fetch::Place { host, path }, None, patience, MAX_RESPONSE_BYTES).await;
+        response.is_ok_and(|answer| answer.status == 200)
     }
 }
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -1,4 +1,4 @@
-//! The sockets of a pilot and the loop that keeps its rounds.
+//! The sockets of a pilot and its main loop, which runs the rounds.
 
 use crate::core::Core;
 use crate::probes::Probes;
@@ -24,26 +24,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// s; at the end, answers under way get so long. The kill follows SIGTERM no sooner than 0.7 s.
-const LAST_ANSWERS: f64 = 0.5;
-/// Health checks under way at once: a whole zone that returns is asked within a few of them.
-const CHECKS_AT_ONCE: usize = 64;
+/// Seconds that answers under way get on shutdown. SIGKILL follows SIGTERM after no less than 0.7 s.
+const SHUTDOWN_GRACE: f64 = 0.5;
+/// Concurrent health checks. Enough to check a whole zone that returns in a few batches.
+const MAX_CHECKS: usize = 64;
 
-/// A pilot, shared by the tasks of its one thread. No borrow is held across a wait.
+/// A pilot, shared by the tasks of its single thread. No borrow is held across an await.
 pub struct Pilot {
     pub core: RefCell<Core>,
     pub front: RefCell<Front>,
     pub gate: Rc<Gate>,
-    /// Something came in that a round should take up.
-    news: Event,
-    /// Tables may have changed.
-    pub changed: Rc<Event>,
-    /// A list was read.
-    listed: Rc<Event>,
+    /// Notified when there is input for a round.
+    input: Event,
+    /// Notified when tables may have changed.
+    pub tables_changed: Rc<Event>,
+    /// Notified when a list of servers was read.
+    list_read: Rc<Event>,
     pub streams: RefCell<Option<Rc<Streams>>>,
 }
 
-pub type Streams = oatlever_xds::Shared<StreamDesk>;
+pub type Streams = oatlever_xds::Shared<XdsHandler>;
 
 impl Pilot {
     fn step(&self) {
@@ -51,12 +51,13 @@
         let (now, version) = (core.now(), core.tables.version());
         core.step(now);
         if core.tables.version() != version {
-            self.changed.notify(usize::MAX);
+            self.tables_changed.notify(usize::MAX);
         }
     }
 
-    fn tell(&self) {
-        self.news.notify(usize::MAX);
+    /// Wakes the main loop to run a round.
+    fn wake(&self) {
+        self.input.notify(usize::MAX);
     }
 }
 
@@ -67,22 +68,22 @@
         let (rounds, mut front) = (core.counts.rounds, self.front.borrow_mut());
         let answer = front.answer(&mut *core, packet, source, via, now);
         if core.counts.rounds != rounds {
-            self.tell();
-            self.changed.notify(usize::MAX);
+            self.wake();
+            self.tables_changed.notify(usize::MAX);
         }
         answer
     }
 }
 
-/// What streams are pushed, and what their proxies tell.
-pub struct StreamDesk {
+/// Connects xDS streams to the pilot: admission, table contents, acknowledgements and load reports.
+pub struct XdsHandler {
     pilot: Rc<Pilot>,
     grants: Grants,
-    /// By node.
+    /// Askers by node name.
     askers: BTreeMap<String, u16>,
 }
 
-impl StreamDesk {
+impl XdsHandler {
     fn new(pilot: Rc<Pilot>, settings: &Settings, xds: &Xds) -> Self {
         let to = |grant: &oatlever_settings::Grant| match (&grant.node, &grant.zone) {
             (Some(node), _) => Some(To::Node(node.clone())),
@@ -94,11 +95,11 @@
             .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), to: to(grant)? }));
         let nodes = settings.askers.iter().enumerate();
         let nodes = nodes.filter_map(|(place, asker)| Some((asker.node.clone()?, place as u16)));
-        StreamDesk { pilot, grants: Grants::new(&grants.collect::<Vec<_>>()), askers: nodes.collect() }
+        XdsHandler { pilot, grants: Grants::new(&grants.collect::<Vec<_>>()), askers: nodes.collect() }
     }
 }
 
-impl oatlever_xds::Desk for StreamDesk {
+impl oatlever_xds::Desk for XdsHandler {
     fn now(&self) -> f64 {
         self.pilot.core.borrow().now()
     }
@@ -109,7 +110,7 @@
         let known = Node { name: node, zone: &core.settings.askers[usize::from(asker)].zone };
         let admitted = self.grants.admit(peer, known, zone, self.unix());
         admitted.map(|()| asker).map_err(|denied| {
-            tracing::warn!(%denied, "proxy not let in");
+            tracing::warn!(%denied, "proxy denied");
             denied.to_string()
         })
     }
@@ -119,15 +120,15 @@
     }
 
     fn arrive(&self, asker: u16) {
-        self.pilot.core.borrow_mut().hold_stream(asker, true);
-        self.pilot.changed.notify(usize::MAX);
-        self.pilot.tell();
+        self.pilot.core.borrow_mut().set_stream(asker, true);
+        self.pilot.tables_changed.notify(usize::MAX);
+        self.pilot.wake();
     }
 
     fn depart(&self, asker: u16) {
-        self.pilot.core.borrow_mut().hold_stream(asker, false);
-        self.pilot.changed.notify(usize::MAX);
-        self.pilot.tell();
+        self.pilot.core.borrow_mut().set_stream(asker, false);
+        self.pilot.tables_changed.notify(usize::MAX);
+        self.pilot.wake();
     }
 
     fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
@@ -156,14 +157,14 @@
     }
 
     fn load(&self, asker: u16, loads: Vec<oatlever_xds::Load>) {
-        self.pilot.core.borrow_mut().load(asker, loads);
+        self.pilot.core.borrow_mut().record_loads(asker, loads);
     }
 }
 
-/// Whose counters are read, and what becomes of a reading.
-struct ReportDesk(Rc<Pilot>);
+/// Supplies the targets of scrapes and takes their results.
+struct ScrapeHandler(Rc<Pilot>);
 
-impl oatlever_reports::Desk for ReportDesk {
+impl oatlever_reports::Desk for ScrapeHandler {
     fn targets_version(&self) -> u64 {
         self.0.core.borrow().targets_version
     }
@@ -171,10 +172,11 @@
     fn targets(&self) -> BTreeMap<Target, fetch::Place> {
         let mut core = self.0.core.borrow_mut();
         let askers = core.settings.askers.iter().enumerate().filter_map(|(place, asker)| {
-            let place_to_read = asker.metrics.as_ref().and_then(|url| fetch::Place::parse(url))?;
-            Some((Target::Asker(place as u16), place_to_read))
+            let endpoint = asker.metrics.as_ref().and_then(|url| fetch::Place::parse(url))?;
+            Some((Target::Asker(place as u16), endpoint))
         });
-        // What a list dropped is read on while tables name it: it may serve, and the list may err.
+        // A server that is gone from the list is scraped as long as a table names it: the list may be wrong, and
+        // the server may still serve.
         let named = core.tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
@@ -182,23 +184,23 @@
             Some((Target::Server(server), fetch::Place { host, path: "/metrics".to_string() }))
         });
         let targets = askers.chain(servers).collect();
-        core.read_only(&targets);
+        core.retain_targets(&targets);
         targets
     }
 
     fn reading(&self, target: Target, asked: Instant, text: Result<Text, String>) {
         let mut core = self.0.core.borrow_mut();
-        core.reading(target, asked, text);
-        if core.has_news() {
-            self.0.tell();
+        core.take_scrape(target, asked, text);
+        if core.has_input() {
+            self.0.wake();
         }
     }
 }
 
-/// What servers report by themselves.
-struct GaugeDesk(Rc<Pilot>);
+/// Takes the ORCA reports of servers.
+struct OrcaHandler(Rc<Pilot>);
 
-impl Gauges for GaugeDesk {
+impl Gauges for OrcaHandler {
     fn servers(&self) -> BTreeMap<Address, SocketAddrV4> {
         let core = self.0.core.borrow();
         let members = core.book.members().iter();
@@ -210,14 +212,14 @@
     }
 }
 
-async fn rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>) {
-    let checks = Rc::new(Probes::new(CHECKS_AT_ONCE));
+async fn run_rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>) {
+    let probes = Rc::new(Probes::new(MAX_CHECKS));
     loop {
-        let listener = pilot.news.listen();
+        let listener = pilot.input.listen();
         pilot.step();
         let to_check = std::mem::take(&mut pilot.core.borrow_mut().to_check);
         for server in to_check {
-            executor.spawn(check(pilot.clone(), server, checks.clone())).detach();
+            executor.spawn(check(pilot.clone(), server, probes.clone())).detach();
         }
         let (next, now) = {
             let core = pilot.core.borrow();
@@ -236,25 +238,26 @@
     let fine = probes.is_fine::<oatlever_fetch::Shared>(host, checks.path, checks.patience).await;
     let mut core = pilot.core.borrow_mut();
     core.counts.checks += 1;
-    core.checked(server, fine);
-    pilot.tell();
+    core.record_check(server, fine);
+    pilot.wake();
 }
 
-/// Connections that may wait to be accepted; the system cuts it to what it allows. After a restart all
-/// proxies dial within a moment: with 128, the usual, some of 480 were reset.
-const DIALLING: i32 = 4096;
+/// Backlog of listening sockets; the system reduces it to its own limit. After a restart all proxies connect
+/// almost at once: with the usual 128, some of 480 connections were reset.
+const BACKLOG: i32 = 4096;
 
 pub fn listen(host: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(host)?;
-    rustix::net::listen(&listener, DIALLING)?;
+    rustix::net::listen(&listener, BACKLOG)?;
     Ok(listener)
 }
 
-fn bound<T>(at: &str, host: SocketAddr, over: &str, made: io::Result<T>) -> Result<T, String> {
-    made.map_err(|e| format!("{at}: cannot listen on {host} over {over}: {e}"))
+/// Adds the setting and the address to the error of a failed bind.
+fn bound<T>(setting: &str, host: SocketAddr, protocol: &str, socket: io::Result<T>) -> Result<T, String> {
+    socket.map_err(|e| format!("{setting}: cannot listen on {host} over {protocol}: {e}"))
 }
 
-fn keys(tls: &Tls) -> Result<Keys, String> {
+fn load_keys(tls: &Tls) -> Result<Keys, String> {
     let files = Files {
         certificate: tls.certificate.clone().into(),
         key: tls.key.clone().into(),
@@ -263,47 +266,48 @@
     Keys::load(files).map_err(|e| format!("/xds/tls: {e}"))
 }
 
-/// Waits until standard input ends; for good where it can't be waited for, as it is a file.
+/// Waits until standard input ends; for ever if it is a file, which can't be waited for.
 async fn input_ended() {
     let Ok(input) = Async::new(io::stdin()) else { return future::pending().await };
     while input.read_with(|input| input.lock().read(&mut [0; 64])).await.is_ok_and(|bytes| bytes > 0) {}
 }
 
-/// Runs until SIGTERM or SIGINT, and no longer than standard input lasts where it is to end with it. Errors: what
-/// could not be started, or why it ended.
+/// Runs a pilot until SIGTERM or SIGINT, or until standard input ends if `end_with_input` is set. Fails if a part
+/// of it can't be started, or ends with an error.
 pub fn run(settings: Settings, seed: u64, end_with_input: bool) -> Result<(), String> {
     let mut sockets = Vec::new();
     for (n, host) in settings.dns.listen.iter().enumerate() {
-        let at = format!("/dns/listen/{n}");
-        let tcp = bound(&at, *host, "TCP", listen(*host))?;
-        // The same port for both, also where any is asked for by 0.
+        let setting = format!("/dns/listen/{n}");
+        let tcp = bound(&setting, *host, "TCP", listen(*host))?;
+        // UDP and TCP share a port, also if the system chooses it for port 0.
         let host = tcp.local_addr().unwrap_or(*host);
-        sockets.push((bound(&at, host, "UDP", UdpSocket::bind(host))?, tcp));
+        sockets.push((bound(&setting, host, "UDP", UdpSocket::bind(host))?, tcp));
     }
     let mut stream_sockets = Vec::new();
     for (n, host) in settings.xds.iter().flat_map(|xds| xds.listen.iter().enumerate()) {
         stream_sockets.push(bound(&format!("/xds/listen/{n}"), *host, "TCP", listen(*host))?);
     }
     let tls = settings.xds.as_ref().and_then(|xds| xds.tls.clone());
-    let keys = tls.as_ref().map(keys).transpose()?;
+    let keys = tls.as_ref().map(load_keys).transpose()?;
     let status = settings.status.listen;
     let status = bound("/status/listen", status, "TCP", listen(status))?;
     let control = settings.control.as_ref().map(|control| control::bind(&control.socket)).transpose()?;
-    let source = Source::parse(&settings.roster.source).ok_or("/roster/source: no place to read")?;
+    let source =
+        Source::parse(&settings.roster.source).ok_or("/roster/source: not a file:// or http:// URL")?;
     let cache = settings.roster.cache.clone().map(|path| Cache(path.into()));
 
     let mut core = Core::new(settings, seed);
     let settings = core.settings.clone();
     match cache.as_ref().map(Cache::load) {
         None => {}
-        Some(Err(e)) => tracing::info!(%e, "no kept list of servers"),
+        Some(Err(e)) => tracing::info!(%e, "no cached list of servers"),
         Some(Ok(text)) => {
             let now = core.now();
             match core.restore(&text, now) {
                 Ok(()) => {
-                    tracing::info!(servers = core.book.members().len(), "kept list of servers taken up")
+                    tracing::info!(servers = core.book.members().len(), "cached list of servers loaded")
                 }
-                Err(what) => tracing::warn!(%what, "kept list of servers left aside"),
+                Err(what) => tracing::warn!(%what, "cached list of servers is invalid and ignored"),
             }
         }
     }
@@ -319,9 +323,9 @@
         core: RefCell::new(core),
         front: RefCell::new(front),
         gate: gate.clone(),
-        news: Event::new(),
-        changed: Rc::new(Event::new()),
-        listed: Rc::new(Event::new()),
+        input: Event::new(),
+        tables_changed: Rc::new(Event::new()),
+        list_read: Rc::new(Event::new()),
         streams: RefCell::default(),
     });
     let streams = settings.xds.as_ref().map(|xds| {
@@ -333,40 +337,40 @@
             report_period: settings.reports.period,
         };
         let classes = settings.classes.iter().map(class).collect();
-        let changed = pilot.changed.clone();
-        // Another life writes other versions, whatever the seed.
-        let desk = StreamDesk::new(pilot.clone(), &settings, xds);
-        oatlever_xds::Shared::new(desk, classes, limits, changed, fastrand::u64(..), keys)
+        let tables_changed = pilot.tables_changed.clone();
+        let handler = XdsHandler::new(pilot.clone(), &settings, xds);
+        // The versions of each process are random even with a fixed seed, so that those of two runs differ.
+        oatlever_xds::Shared::new(handler, classes, limits, tables_changed, fastrand::u64(..), keys)
     });
     *pilot.streams.borrow_mut() = streams.clone();
     let executor = Rc::new(LocalExecutor::new());
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
     async_io::block_on(executor.run(async {
-        let mut tasks = vec![executor.spawn(rounds(pilot.clone(), executor.clone()))];
+        let mut tasks = vec![executor.spawn(run_rounds(pilot.clone(), executor.clone()))];
         let (failed, failure) = (Rc::new(Event::new()), Rc::new(RefCell::new(None)));
-        let ended = |what: String, failed: Rc<Event>, failure: Rc<RefCell<Option<String>>>| {
+        let fail = |part: String, failed: Rc<Event>, failure: Rc<RefCell<Option<String>>>| {
             move |e: io::Error| {
-                *failure.borrow_mut() = Some(format!("{what}: {e}"));
+                *failure.borrow_mut() = Some(format!("{part}: {e}"));
                 failed.notify(usize::MAX);
             }
         };
-        let broken = failed.listen();
+        let failed_listener = failed.listen();
         for (udp, tcp) in sockets {
             let host = udp.local_addr().map(|host| host.to_string()).unwrap_or_default();
             tracing::info!(%host, "answering DNS");
-            let ended_udp = ended(format!("UDP at {host}"), failed.clone(), failure.clone());
-            let ended_tcp = ended(format!("TCP at {host}"), failed.clone(), failure.clone());
+            let udp_failed = fail(format!("UDP at {host}"), failed.clone(), failure.clone());
+            let tcp_failed = fail(format!("TCP at {host}"), failed.clone(), failure.clone());
             let udp = oatlever_dns::serve_udp(udp, pilot.clone());
-            tasks.push(executor.spawn(async move { udp.await.unwrap_or_else(ended_udp) }));
+            tasks.push(executor.spawn(async move { udp.await.unwrap_or_else(udp_failed) }));
             let tcp = oatlever_dns::serve_tcp(tcp, pilot.clone(), gate.clone(), executor.clone());
-            tasks.push(executor.spawn(async move { tcp.await.unwrap_or_else(ended_tcp) }));
+            tasks.push(executor.spawn(async move { tcp.await.unwrap_or_else(tcp_failed) }));
         }
         for (socket, shared) in stream_sockets.into_iter().zip(streams.iter().cycle()) {
             let host = socket.local_addr().map(|host| host.to_string()).unwrap_or_default();
             tracing::info!(%host, "serving xDS");
-            let ended_streams = ended(format!("xDS at {host}"), failed.clone(), failure.clone());
+            let xds_failed = fail(format!("xDS at {host}"), failed.clone(), failure.clone());
             let serve = oatlever_xds::serve(socket, shared.clone(), executor.clone());
-            tasks.push(executor.spawn(async move { serve.await.unwrap_or_else(ended_streams) }));
+            tasks.push(executor.spawn(async move { serve.await.unwrap_or_else(xds_failed) }));
         }
         for (shared, tls) in streams.iter().zip(&tls) {
             let (shared, pause) = (shared.clone(), Duration::from_secs_f64(tls.look_again));
@@ -379,47 +383,47 @@
         }
         let host = status.local_addr().map(|host| host.to_string()).unwrap_or_default();
         tracing::info!(%host, "serving status");
-        let page = status::serve(status, pilot.clone(), executor.clone());
-        let ended_page = ended("status".to_string(), failed.clone(), failure.clone());
-        tasks.push(executor.spawn(async move { page.await.unwrap_or_else(ended_page) }));
+        let serve_status = status::serve(status, pilot.clone(), executor.clone());
+        let status_failed = fail("status".to_string(), failed.clone(), failure.clone());
+        tasks.push(executor.spawn(async move { serve_status.await.unwrap_or_else(status_failed) }));
 
         if let Some(socket) = control {
             let serve = control::serve(socket, pilot.clone(), executor.clone());
-            let ended_control = ended("control".to_string(), failed.clone(), failure.clone());
-            tasks.push(executor.spawn(async move { serve.await.unwrap_or_else(ended_control) }));
+            let control_failed = fail("control".to_string(), failed.clone(), failure.clone());
+            tasks.push(executor.spawn(async move { serve.await.unwrap_or_else(control_failed) }));
         }
         let roster = &settings.roster;
         let sink = {
             let pilot = pilot.clone();
-            move |read| {
+            move |result| {
                 let mut core = pilot.core.borrow_mut();
                 let now = core.now();
-                let worth = core.roster(read, now);
-                if let Some(cache) = cache.as_ref().filter(|_| worth) {
-                    // A list that can't be kept is a trouble of the next start only.
+                let changed = core.take_list(result, now);
+                if let Some(cache) = cache.as_ref().filter(|_| changed) {
+                    // A failure to write the cache matters only to the next start.
                     if let Err(e) = cache.save(&core.book.keep(now, Moment::now())) {
-                        tracing::warn!(path = %cache.0.display(), %e, "list of servers not kept");
+                        tracing::warn!(path = %cache.0.display(), %e, "writing the cached list of servers failed");
                     }
                 }
-                pilot.tell();
-                pilot.listed.notify(usize::MAX);
+                pilot.wake();
+                pilot.list_read.notify(usize::MAX);
             }
         };
-        let gauges = orca::run(
-            GaugeDesk(pilot.clone()),
+        let orca_reports = orca::run(
+            OrcaHandler(pilot.clone()),
             settings.reports.period,
-            pilot.listed.clone(),
+            pilot.list_read.clone(),
             executor.clone(),
         );
-        tasks.push(executor.spawn(gauges));
+        tasks.push(executor.spawn(orca_reports));
         let times = (roster.period, roster.patience);
         let zones = settings.zones.clone();
         tasks.push(executor.spawn(oatlever_roster::run(source, zones, times, roster.most_bytes, sink)));
         let reports = settings.reports.clone();
-        let desk = ReportDesk(pilot.clone());
+        let handler = ScrapeHandler(pilot.clone());
         tasks.push(executor.spawn(async move {
             let limits = (reports.most_bytes, reports.at_once);
-            oatlever_reports::run(desk, reports.period, reports.patience, limits).await
+            oatlever_reports::run(handler, reports.period, reports.patience, limits).await
         }));
 
         let signal = async {
@@ -435,14 +439,14 @@
             tracing::info!("standard input has ended");
             Ok(())
         };
-        let broke = async {
-            broken.await;
+        let task_failed = async {
+            failed_listener.await;
             Err(failure.borrow_mut().take().unwrap_or_default())
         };
-        let end = future::or(future::or(signal, input), broke).await;
+        let end = future::or(future::or(signal, input), task_failed).await;
         gate.close();
-        let until = Instant::now() + Duration::from_secs_f64(LAST_ANSWERS);
-        while gate.in_hand() > 0 && Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs_f64(SHUTDOWN_GRACE);
+        while gate.in_hand() > 0 && Instant::now() < deadline {
             Timer::after(Duration::from_millis(10)).await;
         }
         drop(tasks);
--- a/pilot/src/status.rs
+++ b/pilot/src/status.rs
@@ -1,7 +1,7 @@
-//! The HTTP listener: `/metrics`, `/status` and `/changes`, to read only.
+//! The read-only HTTP server with `/metrics`, `/status` and `/changes`.
 
 use crate::metrics;
-use crate::pages::{self, Page};
+use crate::pages::{self, HttpResponse};
 use crate::serve::Pilot;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -13,8 +13,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Changes on a page where none other number is asked for.
-const CHANGES: usize = 100;
+/// Changes returned by `/changes` without `most=`.
+const DEFAULT_CHANGES: usize = 100;
 
 pub async fn serve(
     socket: TcpListener,
@@ -23,12 +23,12 @@
 ) -> io::Result<()> {
     let socket = Async::<TcpListener>::try_from(socket)?;
     let accept = async || socket.accept().await.map(|(stream, _)| stream);
-    pages::serve(accept, move |request, _| page(&pilot, request), executor).await;
+    pages::serve(accept, move |request, _| handle(&pilot, request), executor).await;
     Ok(())
 }
 
-fn page(pilot: &Pilot, request: &Parts) -> Page {
-    let (status, kind, text) = match (&request.method, request.uri.path()) {
+fn handle(pilot: &Pilot, request: &Parts) -> HttpResponse {
+    let (status, content_type, body) = match (&request.method, request.uri.path()) {
         (&Method::GET, "/metrics") => match metrics::text(pilot) {
             Ok(text) => (StatusCode::OK, "application/openmetrics-text; version=1.0.0; charset=utf-8", text),
             Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, "text/plain", e.to_string()),
@@ -36,12 +36,12 @@
         (&Method::GET, "/status") => (StatusCode::OK, "application/json", status(pilot).to_string()),
         (&Method::GET, "/changes") => match changes(pilot, request.uri.query().unwrap_or("")) {
             Ok(value) => (StatusCode::OK, "application/json", value.to_string()),
-            Err(what) => (StatusCode::BAD_REQUEST, "text/plain", what),
+            Err(error) => (StatusCode::BAD_REQUEST, "text/plain", error),
         },
         (&Method::GET, _) => (StatusCode::NOT_FOUND, "text/plain", "/metrics, /status, /changes\n".into()),
         _ => (StatusCode::METHOD_NOT_ALLOWED, "text/plain", "GET only\n".into()),
     };
-    pages::answer(status, kind, text)
+    pages::response(status, content_type, body)
 }
 
 fn status(pilot: &Pilot) -> Value {
@@ -68,7 +68,7 @@
         "now": now,
         "rounds": core.counts.rounds,
         "version": core.tables.version(),
-        "list": {"age": core.list_heard.map(|at| now - at), "trouble": core.list_trouble},
+        "list": {"age": core.list_received_at.map(|at| now - at), "trouble": core.list_error},
         "channel": {"waiting": core.tables.pull.waiting(), "most": core.tables.pull.most},
         "plan": core.planning.as_ref().map(|planning| planning.explain(&core.settings, now)),
         "tables": tables.collect::<Vec<_>>(),
@@ -77,27 +77,28 @@
     })
 }
 
-/// The last changes, newest first; `server=`, `table=` and `most=` narrow them down.
+/// The latest table changes, newest first. The query parameters `server=` and `table=` filter them, `most=` limits
+/// their number.
 fn changes(pilot: &Pilot, query: &str) -> Result<Value, String> {
-    let (mut server, mut table, mut most) = (None, None, CHANGES);
+    let (mut server, mut table, mut most) = (None, None, DEFAULT_CHANGES);
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-        let wrong = |expected: &str| format!("{pair:?}: expected {expected}\n");
+        let invalid = |expected: &str| format!("{pair:?}: expected {expected}\n");
         match pair.split_once('=') {
             Some(("server", value)) => server = Some(value.to_string()),
             Some(("table", value)) => {
-                table = Some(value.parse::<u16>().map_err(|_| wrong("a table's number"))?)
+                table = Some(value.parse::<u16>().map_err(|_| invalid("a table's number"))?)
             }
-            Some(("most", value)) => most = value.parse().map_err(|_| wrong("a number"))?,
-            _ => return Err(wrong("server=, table= or most=")),
+            Some(("most", value)) => most = value.parse().map_err(|_| invalid("a number"))?,
+            _ => return Err(invalid("server=, table= or most=")),
         }
     }
     let core = pilot.core.borrow();
     let now = core.now();
-    let named = |change: &&Change| {
+    let matches = |change: &&Change| {
         let has = |name: &String| change.lines.iter().any(|(line, _, _)| line.to_string() == *name);
         table.is_none_or(|table| change.table == table) && server.as_ref().is_none_or(has)
     };
-    let told = core.tables.history.newest().filter(named).take(most).map(|change| {
+    let changes = core.tables.history.newest().filter(matches).take(most).map(|change| {
         let lines = change.lines.iter().map(|(line, from, to)| (line.to_string(), json!([from, to])));
         let levels = change.levels.iter().map(|(class, (level, tries))| {
             json!({"class": core.settings.classes[usize::from(*class)].name, "level": level, "tries": tries})
@@ -107,5 +108,5 @@
                "news": news.collect::<serde_json::Map<_, _>>(), "table": change.table,
                "lines": lines.collect::<serde_json::Map<_, _>>(), "levels": levels.collect::<Vec<_>>()})
     });
-    Ok(json!(told.collect::<Vec<_>>()))
+    Ok(json!(changes.collect::<Vec<_>>()))
 }
