--- a/pilot/src/timers.rs
+++ b/pilot/src/timers.rs
@@ -1,8 +1,9 @@
-//! Timers that were set. The decisions set a few at a time, so an ordered set does: see
-//! `docs/measurements.md` for it beside a wheel.
+//! Pending timers. The decisions have only a few at a time, so an ordered set is enough; see
+//! `docs/measurements.md` for a comparison with a timer wheel.
 
 use std::collections::BTreeSet;
 
+/// Timers as pairs of due time (ns) and number.
 #[derive(Debug, Default)]
 pub struct Timers(BTreeSet<(u64, u64)>);
 
@@ -15,7 +16,7 @@
         self.0.insert((nanos(at), number));
     }
 
-    /// The numbers of those that are due, in order of time.
+    /// Removes the timers that are due and returns their numbers in order of due time.
     pub fn due(&mut self, now: f64) -> Vec<u64> {
         let later = self.0.split_off(&(nanos(now) + 1, 0));
         std::mem::replace(&mut self.0, later).into_iter().map(|(_, number)| number).collect()
