--- a/pilot/tests/harness/mod.rs
+++ b/pilot/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A pilot as a process, for tests: started, held, told and heard.
+//! Runs a pilot on the platform as a process, for tests.
 
-// Each test file uses a part of it.
+// Each test file uses only a part of the harness.
 #![allow(dead_code)]
 
 use oatlever_standins::platform::{server, Peer};
@@ -12,17 +12,18 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// More than any step takes on a busy machine; reached only where something is wrong.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Longer than any step takes on a busy machine, so that only a fault reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Pilot {
     pub child: Child,
     pub host: SocketAddr,
     pub path: PathBuf,
-    /// Lines of its log, as they come.
+    /// The lines of its log.
     log: Receiver<Value>,
 }
 
+/// A configuration for two zones and two classes, with a limit of file descriptors.
 pub fn configuration(discovery: SocketAddr, sockets: u32) -> Value {
     let lane = |name: &str, worth: f64| json!({"name": name, "slo-ms": 1000.0, "worth": worth});
     json!({
@@ -43,83 +44,84 @@
     })
 }
 
-/// The message that a proxy joins with.
+/// The join message of a proxy.
 pub fn attach(proxy: u16) -> Value {
     json!({"msg": "attach", "proxy": proxy, "zone": "a", "weight": 2.5, "fresh": true})
 }
 
-pub fn written(name: &str, configuration: &Value) -> PathBuf {
+/// Writes a configuration to a temporary file.
+pub fn write_configuration(name: &str, configuration: &Value) -> PathBuf {
     let path = std::env::temp_dir().join(format!("oatlever-{}-{name}.json", std::process::id()));
     std::fs::write(&path, configuration.to_string()).unwrap();
     path
 }
 
-/// What a program says that does not start for its configuration.
-pub fn refused(name: &str, configuration: &Value) -> String {
-    let path = written(name, configuration);
+/// The error output of a pilot that refuses its configuration.
+pub fn start_error(name: &str, configuration: &Value) -> String {
+    let path = write_configuration(name, configuration);
     let mut program = Command::new(env!("CARGO_BIN_EXE_oatlever"));
-    let told = program.arg("platform").arg(&path).env_remove("BALANCER_LISTEN").output().unwrap();
+    let output = program.arg("platform").arg(&path).env_remove("BALANCER_LISTEN").output().unwrap();
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(told.status.code(), Some(2));
-    String::from_utf8(told.stderr).unwrap()
+    assert_eq!(output.status.code(), Some(2));
+    String::from_utf8(output.stderr).unwrap()
 }
 
 impl Pilot {
     pub fn start(name: &str, configuration: &Value) -> Pilot {
-        Pilot::start_by(&mut Command::new(env!("CARGO_BIN_EXE_oatlever")), name, configuration)
+        Pilot::start_with(&mut Command::new(env!("CARGO_BIN_EXE_oatlever")), name, configuration)
     }
 
-    /// Starts one and waits until it says where it listens.
-    pub fn start_by(program: &mut Command, name: &str, configuration: &Value) -> Pilot {
-        let path = written(name, configuration);
-        Pilot::spawn(program, path).serving()
+    /// Starts a pilot with a given command and waits until it listens.
+    pub fn start_with(program: &mut Command, name: &str, configuration: &Value) -> Pilot {
+        let path = write_configuration(name, configuration);
+        Pilot::spawn(program, path).wait_until_serving()
     }
 
-    /// Starts one on a file that is there, and does not wait.
+    /// Starts a pilot with an existing configuration file, without waiting until it listens.
     pub fn spawn(program: &mut Command, path: PathBuf) -> Pilot {
         let command = program.args(["platform", path.to_str().unwrap(), "--log", "json"]);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let (tell, log) = channel();
-        // The log is read on, so that the pilot never waits for a full pipe.
+        let (sender, log) = channel();
+        // The thread keeps reading the log, so that the pilot never blocks on a full pipe.
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                drop(tell.send(serde_json::from_str(&line).unwrap_or(Value::String(line))));
+                drop(sender.send(serde_json::from_str(&line).unwrap_or(Value::String(line))));
             }
         });
         Pilot { child, host: ([0, 0, 0, 0], 0).into(), path, log }
     }
 
-    /// Waits until it says where it listens.
-    pub fn serving(mut self) -> Pilot {
-        self.host = self.logged("serving the platform")["host"].as_str().unwrap().parse().unwrap();
+    /// Waits until the pilot listens, and records its address.
+    pub fn wait_until_serving(mut self) -> Pilot {
+        self.host = self.wait_for_log("serving the platform")["host"].as_str().unwrap().parse().unwrap();
         self
     }
 
-    /// Waits for a line of the log, and gives its fields.
-    pub fn logged(&self, message: &str) -> Value {
+    /// Waits for a log line with a message and returns its fields.
+    pub fn wait_for_log(&self, message: &str) -> Value {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap_or_else(|_| panic!("no line {message:?}"));
+            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no log line {message:?}"));
             if line["fields"]["message"] == message {
                 return line["fields"].clone();
             }
         }
     }
 
-    /// Waits until the counts in its log have some text in them.
-    pub fn counted(&self, part: &str) {
-        let begun = Instant::now();
+    /// Waits until the counters in the log contain a text.
+    pub fn wait_for_counts(&self, part: &str) {
+        let started = Instant::now();
         loop {
-            let counts = self.logged("so far")["counts"].to_string();
+            let counts = self.wait_for_log("so far")["counts"].to_string();
             if counts.contains(part) {
                 return;
             }
-            assert!(begun.elapsed() < LONG, "{counts}");
+            assert!(started.elapsed() < TIMEOUT, "{counts}");
         }
     }
 
-    /// Holds the process, so that what is done meanwhile meets it at once, in one turn.
-    pub fn hold(&self) {
+    /// Stops the process, so that everything done until [`Pilot::resume`] reaches it in one turn of its event loop.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
@@ -127,39 +129,39 @@
         }
     }
 
-    pub fn release(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// A connection on which it has answered, so that it is accepted.
-    pub fn accepted(&self) -> Peer {
+    /// Opens a connection and waits for an answer on it, which shows that the pilot has accepted it.
+    pub fn dial_accepted(&self) -> Peer {
         let mut peer = self.dial();
         peer.say(json!({"msg": "hb"})).unwrap();
         assert_eq!(peer.hear().unwrap().unwrap()["msg"], "hb_ok");
         peer
     }
 
-    /// Status after its end, which must come by itself.
-    pub fn ended(&mut self) -> Option<i32> {
-        let begun = Instant::now();
-        while begun.elapsed() < LONG {
+    /// Waits until the process exits and returns its exit status; `None` if a signal killed it.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let started = Instant::now();
+        while started.elapsed() < TIMEOUT {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        panic!("it does not end");
+        panic!("the pilot does not exit");
     }
 
     pub fn dial(&self) -> Peer {
-        Peer::dial(self.host, LONG).unwrap()
+        Peer::dial(self.host, TIMEOUT).unwrap()
     }
 
-    /// Joins a proxy and waits for its table.
-    pub fn proxy(&self, number: u16, named: &str) -> Peer {
+    /// Joins as a proxy and waits until its table lists a server.
+    pub fn join_proxy(&self, number: u16, server: &str) -> Peer {
         let mut peer = self.dial();
         peer.say(attach(number)).unwrap();
-        assert!(peer.holds(LONG, |table| table.contains_key(named)), "{:?}", peer.table);
+        assert!(peer.holds(TIMEOUT, |table| table.contains_key(server)), "{:?}", peer.table);
         peer
     }
 
--- a/pilot/tests/program.rs
+++ b/pilot/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: its command line, its end, and peers that mean no good.
+//! Tests of the program as a process: its command line, its shutdown, and misbehaving clients.
 
 use domain::base::iana::{Class, Rcode, Rtype};
 use domain::base::{Message, MessageBuilder, Name};
@@ -10,8 +10,8 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// More than any step takes on a busy machine; reached only where something is wrong.
-const LONG: Duration = Duration::from_secs(20);
+/// Longer than any step takes on a busy machine, so that only a fault reaches it.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Folder(PathBuf);
 
@@ -71,7 +71,7 @@
 }
 
 impl Pilot {
-    /// Starts one and waits until it says where it listens.
+    /// Starts a pilot and waits until it has logged its addresses.
     fn start(settings: &std::path::Path) -> Pilot {
         let mut child = Command::new(env!("CARGO_BIN_EXE_oatlever"))
             .args(["pilot", settings.to_str().unwrap(), "--log", "json", "--seed", "1"])
@@ -87,12 +87,13 @@
             }
         };
         let (dns, status) = (host("answering DNS"), host("serving status"));
-        // The rest of the log is read on, so that the pilot never waits for a full pipe.
+        // The thread keeps reading the log, so that the pilot never blocks on a full pipe.
         std::thread::spawn(move || lines.for_each(drop));
         Pilot { child, dns, status }
     }
 
-    fn ask(&self, source: [u8; 4]) -> Option<Message<Vec<u8>>> {
+    /// Sends a DNS query from an address and returns the answer, if one arrives in time.
+    fn query(&self, source: [u8; 4]) -> Option<Message<Vec<u8>>> {
         let socket = UdpSocket::bind((Ipv4Addr::from(source), 0)).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         socket.send_to(&question(), self.dns).unwrap();
@@ -102,11 +103,11 @@
         Message::from_octets(packet).ok()
     }
 
-    /// Asks until the answer is as wanted.
-    fn until(&self, what: &str, wanted: impl Fn(&Message<Vec<u8>>) -> bool) {
-        let begun = Instant::now();
-        while !self.ask([127, 0, 0, 1]).is_some_and(|answer| wanted(&answer)) {
-            assert!(begun.elapsed() < LONG, "never: {what}");
+    /// Repeats a DNS query until its answer meets a condition.
+    fn query_until(&self, description: &str, condition: impl Fn(&Message<Vec<u8>>) -> bool) {
+        let started = Instant::now();
+        while !self.query([127, 0, 0, 1]).is_some_and(|answer| condition(&answer)) {
+            assert!(started.elapsed() < TIMEOUT, "timed out waiting for {description}");
             std::thread::sleep(Duration::from_millis(25));
         }
     }
@@ -119,18 +120,19 @@
         text.split_once("\r\n\r\n").unwrap().1.to_string()
     }
 
-    /// KiB of memory it holds.
+    /// Resident memory, KiB.
     fn memory(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    fn end(mut self) -> (Option<i32>, Duration) {
-        let begun = Instant::now();
+    /// Sends SIGTERM and waits for the exit. Returns the exit status and the time it took.
+    fn terminate(mut self) -> (Option<i32>, Duration) {
+        let started = Instant::now();
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
-        (self.child.wait().unwrap().code(), begun.elapsed())
+        (self.child.wait().unwrap().code(), started.elapsed())
     }
 }
 
@@ -155,23 +157,24 @@
     additional.finish()
 }
 
-fn lines(message: &Message<Vec<u8>>) -> usize {
+/// The number of SRV records in an answer.
+fn count_records(message: &Message<Vec<u8>>) -> usize {
     message.answer().unwrap().limit_to::<Srv<_>>().flatten().count()
 }
 
 #[test]
-fn wrong_settings_and_flags_are_told_and_end_with_2() {
-    let folder = Folder::new("wrong");
+fn invalid_settings_and_arguments_are_reported_with_status_2() {
+    let folder = Folder::new("invalid");
     let mut settings = folder.settings();
     settings["dns"]["lifetime"] = json!(30);
     settings["zones"] = json!(["north", "north"]);
     let path = folder.write("settings.json", &settings.to_string());
     for command in ["check", "pilot"] {
-        let done = program(&[command, path.to_str().unwrap()]);
-        let told = String::from_utf8(done.stderr).unwrap();
-        assert_eq!(done.status.code(), Some(2), "{told}");
-        assert!(told.contains("/dns/lifetime: found lifetime 30 + overstay 0.5 = 30.5 s"), "{told}");
-        assert!(told.contains("/zones/1: found \"north\""), "{told}");
+        let output = program(&[command, path.to_str().unwrap()]);
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{errors}");
+        assert!(errors.contains("/dns/lifetime: found lifetime 30 + overstay 0.5 = 30.5 s"), "{errors}");
+        assert!(errors.contains("/zones/1: found \"north\""), "{errors}");
     }
     let missing = program(&["check", "/nowhere/settings.json"]);
     assert_eq!(missing.status.code(), Some(2));
@@ -185,28 +188,28 @@
 }
 
 #[test]
-fn a_taken_port_is_named_and_ends_with_1() {
+fn a_port_in_use_is_reported_with_status_1() {
     let folder = Folder::new("taken");
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let host = taken.local_addr().unwrap().to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let host = listener.local_addr().unwrap().to_string();
     for (at, place) in [("/dns/listen/0", "/dns/listen"), ("/status/listen", "/status/listen")] {
         let mut settings = folder.settings();
         let value = if at == place { json!(host) } else { json!([host]) };
         *settings.pointer_mut(place).unwrap() = value;
         let path = folder.write("settings.json", &settings.to_string());
-        let done = program(&["pilot", path.to_str().unwrap()]);
-        let told = String::from_utf8(done.stderr).unwrap();
-        assert_eq!(done.status.code(), Some(1), "{told}");
-        assert!(told.contains(at) && told.contains(&host) && told.contains("TCP"), "{told}");
+        let output = program(&["pilot", path.to_str().unwrap()]);
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(1), "{errors}");
+        assert!(errors.contains(at) && errors.contains(&host) && errors.contains("TCP"), "{errors}");
     }
 }
 
 #[test]
-fn it_answers_says_why_and_ends_well_when_told() {
+fn it_answers_explains_changes_and_shuts_down_cleanly() {
     let folder = Folder::new("well");
     folder.list(1..4);
     let pilot = Pilot::start(&folder.write("settings.json", &folder.settings().to_string()));
-    pilot.until("three lines", |answer| lines(answer) == 3);
+    pilot.query_until("three lines", |answer| count_records(answer) == 3);
     let changes: Value = serde_json::from_str(&pilot.page("/changes?server=10.0.0.2:7000")).unwrap();
     assert_eq!(changes[0]["lines"]["10.0.0.2:7000"][0], 0.0, "{changes}");
     assert!(changes[0]["news"]["lists"].is_u64() && changes[0]["round"].is_u64(), "{changes}");
@@ -215,25 +218,26 @@
     assert_eq!((&status["askers"][0]["up"], &status["tables"][0]["users"]), (&json!(true), &json!(1)));
     let metrics = pilot.page("/metrics");
     assert!(metrics.ends_with("# EOF\n") && metrics.contains("\noatlever_servers_listed 3"), "{metrics}");
-    // A question over TCP is under way when the end is asked for: the answer comes all the same.
+    // A query over TCP that is under way on shutdown is still answered.
     let mut stream = TcpStream::connect(pilot.dns).unwrap();
     let packet = question();
     stream.write_all(&(packet.len() as u16).to_be_bytes()).unwrap();
     stream.write_all(&packet).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut length = [0; 2];
     stream.read_exact(&mut length).unwrap();
-    let (code, took) = pilot.end();
+    let (code, took) = pilot.terminate();
     assert_eq!(code, Some(0));
     assert!(took < Duration::from_secs(2), "{took:?}");
     let mut answer = vec![0; usize::from(u16::from_be_bytes(length))];
     stream.read_exact(&mut answer).unwrap();
-    assert_eq!(lines(&Message::from_octets(answer).unwrap()), 3);
+    assert_eq!(count_records(&Message::from_octets(answer).unwrap()), 3);
 }
 
-/// Back to an old version on command, and on again; drains go through meanwhile. Errors say what is wrong.
+/// A table is rolled back to an old version and released again by commands. Drains apply to the frozen table. Errors
+/// state the reason.
 #[test]
-fn tables_go_back_on_command_and_on_again() {
+fn tables_are_rolled_back_and_released_by_command() {
     let folder = Folder::new("back");
     folder.list(1..5);
     let socket = folder.0.join("control");
@@ -241,7 +245,7 @@
     settings["control"] = json!({"socket": socket.to_str().unwrap(), "versions": 20});
     let settings = folder.write("settings.json", &settings.to_string());
     let pilot = Pilot::start(&settings);
-    pilot.until("four lines", |answer| lines(answer) == 4);
+    pilot.query_until("four lines", |answer| count_records(answer) == 4);
     let tables = |arguments: &[&str]| -> Result<Value, String> {
         let done = program(&[&["tables", "--socket", socket.to_str().unwrap()], arguments].concat());
         match done.status.code() {
@@ -251,64 +255,66 @@
     };
     let first = tables(&["list"]).unwrap()[0]["version"].as_u64().unwrap().to_string();
     folder.list(1..8);
-    pilot.until("seven lines", |answer| lines(answer) == 7);
+    pilot.query_until("seven lines", |answer| count_records(answer) == 7);
     let second = tables(&["list"]).unwrap()[0]["version"].as_u64().unwrap().to_string();
     let shown = tables(&["show", "0", &first]).unwrap();
     assert_eq!(shown["lines"].as_object().unwrap().len(), 4, "{shown}");
     let differing = tables(&["diff", "0", &first, &second]).unwrap();
     assert_eq!(differing["10.0.0.7:7000"][0], Value::Null, "{differing}");
     tables(&["rollback", "0", &first]).unwrap();
-    pilot.until("four lines again", |answer| lines(answer) == 4);
+    pilot.query_until("four lines again", |answer| count_records(answer) == 4);
     assert_eq!(tables(&["list"]).unwrap()[0]["frozen_at"].as_u64().unwrap().to_string(), first);
     folder.list(2..9);
-    pilot.until("one of the four dropped", |answer| lines(answer) == 3);
+    pilot.query_until("one of the four dropped", |answer| count_records(answer) == 3);
     tables(&["release", "0"]).unwrap();
-    pilot.until("seven lines of the new list", |answer| lines(answer) == 7);
+    pilot.query_until("seven lines of the new list", |answer| count_records(answer) == 7);
     assert_eq!(tables(&["release", "0"]), Err("Some(1) oatlever: the table is not frozen".into()));
     assert_eq!(tables(&["show", "0", "999"]), Err("Some(1) oatlever: that version is not kept".into()));
     assert_eq!(tables(&["rollback", "9", "1"]), Err("Some(1) oatlever: there is no such table".into()));
-    // A second pilot does not take the socket; one that follows a killed one does.
+    // A second pilot can't take the control socket, but one that follows a killed pilot can.
     let second = program(&["pilot", settings.to_str().unwrap()]);
     assert_eq!(second.status.code(), Some(1));
     assert!(String::from_utf8(second.stderr).unwrap().contains("another pilot listens there"));
     drop(pilot);
     assert!(tables(&["list"]).unwrap_err().contains("control"));
     let pilot = Pilot::start(&settings);
-    pilot.until("lines of the next pilot", |answer| lines(answer) == 7);
+    pilot.query_until("lines of the next pilot", |answer| count_records(answer) == 7);
     assert!(tables(&["list"]).unwrap()[0]["frozen_at"].is_null());
 }
 
-/// Without a list nothing can be answered, and that is said at once; a kept list does until there is one.
+/// Without a list of servers, queries fail at once with SERVFAIL. A cached list serves until a new one is read.
 #[test]
-fn a_start_without_the_roster_goes_by_the_kept_list() {
+fn a_start_without_the_roster_uses_the_cached_list() {
     let folder = Folder::new("kept");
     let settings = folder.write("settings.json", &folder.settings().to_string());
     let pilot = Pilot::start(&settings);
-    pilot.until("no list, no answer", |answer| answer.header().rcode() == Rcode::SERVFAIL);
+    pilot.query_until("SERVFAIL without a list", |answer| answer.header().rcode() == Rcode::SERVFAIL);
     folder.list(1..6);
-    pilot.until("five lines", |answer| lines(answer) == 5);
-    // kill -9, and the roster is gone.
+    pilot.query_until("five lines", |answer| count_records(answer) == 5);
+    // The pilot is killed, and the list is gone when it restarts.
     drop(pilot);
     std::fs::remove_file(folder.0.join("servers.json")).unwrap();
     let pilot = Pilot::start(&settings);
-    pilot.until("five lines from the kept list", |answer| lines(answer) == 5);
+    pilot.query_until("five lines from the cached list", |answer| count_records(answer) == 5);
     folder.write("servers.json", "[{\"targets\": [\"10.0.0.1:70");
     std::thread::sleep(Duration::from_millis(300));
-    pilot.until("five lines with half a list", |answer| lines(answer) == 5);
+    pilot.query_until("five lines with a truncated list", |answer| count_records(answer) == 5);
     folder.list(1..3);
-    pilot.until("two lines of the new list", |answer| lines(answer) == 2);
+    pilot.query_until("two lines of the new list", |answer| count_records(answer) == 2);
     drop(pilot);
-    // A kept list that was spoiled is left aside.
+    // A corrupt cached list is ignored.
     folder.write("kept.json", "[{\"server\": \"10.0.0.1:70");
     std::fs::remove_file(folder.0.join("servers.json")).unwrap();
     let pilot = Pilot::start(&settings);
-    pilot.until("no list at all", |answer| answer.header().rcode() == Rcode::SERVFAIL);
+    pilot.query_until("SERVFAIL with a corrupt cached list", |answer| {
+        answer.header().rcode() == Rcode::SERVFAIL
+    });
 }
 
-/// Where all servers have just started and nothing was reported, clients are answered all the same: through the
-/// guard and the ledger, whatever rate they are said to bring.
+/// Clients are answered even if all servers have just started and there are no reports: with the guard and the ledger,
+/// and for any configured usual rate.
 #[test]
-fn clients_among_cold_servers_alone_are_answered() {
+fn clients_are_answered_with_only_cold_servers() {
     for (name, usual_rate, guarded) in
         [("cold", 5.0, false), ("cold-0", 0.0, false), ("cold-guard", 5.0, true)]
     {
@@ -319,30 +325,30 @@
         folder.write("servers.json", &json!([{"targets": targets, "labels": labels}]).to_string());
         let mut settings = folder.settings();
         settings["askers"][0]["usual_rate"] = json!(usual_rate);
-        // They stay cold for longer than anything is waited for.
+        // The servers stay cold for the whole test.
         settings["rules"]["warm_within"] = json!(600);
         if guarded {
             settings["guard"] = json!({"mode": "enforce"});
             settings["dns"]["ledger"] = json!({});
         }
         let pilot = Pilot::start(&folder.write("settings.json", &settings.to_string()));
-        pilot.until("five lines", |answer| lines(answer) == 5);
+        pilot.query_until("five lines", |answer| count_records(answer) == 5);
     }
 }
 
-/// Random bytes, floods, and connections that are silent or trickle: others go on being answered, and
-/// memory stays bounded.
+/// With random bytes, floods, idle connections and slow ones, other clients are still answered, and memory stays
+/// bounded.
 #[test]
-fn bad_peers_hurt_nobody_else() {
+fn misbehaving_clients_do_not_affect_others() {
     let folder = Folder::new("peers");
     folder.list(1..20);
     let pilot = Pilot::start(&folder.write("settings.json", &folder.settings().to_string()));
-    pilot.until("lines", |answer| lines(answer) == 19);
+    pilot.query_until("lines", |answer| count_records(answer) == 19);
     let before = pilot.memory();
 
-    // A thousand connections that stay silent, from one address: it gets its part, no more.
-    let silent: Vec<TcpStream> = (0..1000).filter_map(|_| TcpStream::connect(pilot.dns).ok()).collect();
-    assert!(silent.len() > 500);
+    // A thousand idle connections from one address: that address gets its share of connections and no more.
+    let idle: Vec<TcpStream> = (0..1000).filter_map(|_| TcpStream::connect(pilot.dns).ok()).collect();
+    assert!(idle.len() > 500);
     let over_tcp = |source: [u8; 4]| {
         let socket = std::net::SocketAddr::from((source, 0));
         let stream = connect(socket, pilot.dns);
@@ -353,43 +359,43 @@
     };
     let (mut stream, whole) = over_tcp([127, 0, 0, 8]);
     stream.write_all(&whole).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut length = [0; 2];
     stream.read_exact(&mut length).unwrap();
 
-    // One byte now and then: it is closed after the stated time, answered never.
+    // A connection that sends one byte at intervals is closed after the idle time and never answered.
     let (mut slow, whole) = over_tcp([127, 0, 0, 9]);
-    let begun = Instant::now();
+    let started = Instant::now();
     slow.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     let closed = whole.iter().cycle().any(|byte| {
-        assert!(begun.elapsed() < LONG, "the slow one is still open");
+        assert!(started.elapsed() < TIMEOUT, "the slow connection is still open");
         let mut one = [0];
         slow.write_all(&[*byte]).is_err() || matches!(slow.read(&mut one), Ok(0))
     });
-    assert!(closed && begun.elapsed() >= Duration::from_millis(900), "{:?}", begun.elapsed());
+    assert!(closed && started.elapsed() >= Duration::from_millis(900), "{:?}", started.elapsed());
 
-    // Floods of random bytes and of questions from one address; another is answered meanwhile.
-    let mut chance = oatlever::chance::Chance::new(9);
+    // A flood of random bytes and queries from one address; another address is answered meanwhile.
+    let mut random = oatlever::chance::Chance::new(9);
     let flood = UdpSocket::bind("127.0.0.7:0").unwrap();
     let packet = question();
     for n in 0..20_000 {
-        let noise: Vec<u8> = (0..n % 300).map(|_| (chance.part() * 256.0) as u8).collect();
+        let noise: Vec<u8> = (0..n % 300).map(|_| (random.part() * 256.0) as u8).collect();
         let bytes = if n % 2 == 0 { &noise } else { &packet };
         let _ = flood.send_to(bytes, pilot.dns);
         if n % 1000 == 0 {
-            pilot.until("an answer amid the flood", |answer| lines(answer) == 19);
+            pilot.query_until("an answer during the flood", |answer| count_records(answer) == 19);
         }
     }
-    pilot.until("an answer after it all", |answer| lines(answer) == 19);
+    pilot.query_until("an answer after the flood", |answer| count_records(answer) == 19);
     let grown = pilot.memory().saturating_sub(before);
     assert!(grown < 20_000, "{grown} KiB more");
     let metrics = pilot.page("/metrics");
     let limited = metrics.lines().find_map(|line| line.strip_prefix("oatlever_dns_limited_total "));
     assert!(limited.unwrap().parse::<u64>().unwrap() > 1000, "{metrics}");
-    assert_eq!(pilot.end().0, Some(0));
+    assert_eq!(pilot.terminate().0, Some(0));
 }
 
-/// Connects from a given address.
+/// Opens a TCP connection from a given address.
 fn connect(from: std::net::SocketAddr, to: std::net::SocketAddr) -> TcpStream {
     let connected = async_io::block_on(oatlever_fetch::connect(to, Some(from))).unwrap();
     let stream = connected.into_inner().unwrap();
@@ -397,84 +403,86 @@
     stream
 }
 
-/// The drill: a table judged from files, each wrong file told by name and ended with 2.
+/// `guard check` checks a table from files. An invalid file is reported by name, with status 2.
 #[test]
-fn a_table_is_judged_offline() {
-    let folder = Folder::new("drill");
-    let one = json!({"zone": 0, "listed": "ready", "weight": 1, "answered_ago": 0.5, "proven": 10});
+fn a_table_is_checked_offline() {
+    let folder = Folder::new("guard-check");
+    let server = json!({"zone": 0, "listed": "ready", "weight": 1, "answered_ago": 0.5, "proven": 10});
     let host = |n: u8| format!("10.0.0.{n}:7000");
-    let servers: serde_json::Map<_, _> = (0..4).map(|n| (host(n), one.clone())).collect();
+    let servers: serde_json::Map<_, _> = (0..4).map(|n| (host(n), server.clone())).collect();
     let even: serde_json::Map<_, _> = (0..4).map(|n| (host(n), json!(1))).collect();
     let state = json!({"servers": servers, "demand": 30, "in_place": even, "cold_share": 0.2,
                        "warm_within": 60, "fall_multiple": 2.5});
     let state = folder.write("state.json", &state.to_string());
-    let judge = |lines: Value| {
+    let check = |lines: Value| {
         let table = folder.write("table.json", &json!({"lines": lines}).to_string());
-        let done = program(&["guard", "check", table.to_str().unwrap(), state.to_str().unwrap()]);
-        (done.status.code(), serde_json::from_slice::<Value>(&done.stdout).unwrap_or_default(), done.stderr)
+        let output = program(&["guard", "check", table.to_str().unwrap(), state.to_str().unwrap()]);
+        let verdict = serde_json::from_slice::<Value>(&output.stdout).unwrap_or_default();
+        (output.status.code(), verdict, output.stderr)
     };
-    let (code, told, _) = judge(json!(even));
-    assert_eq!((code, &told["outcome"]), (Some(0), &json!("fine")));
-    let (code, told, _) = judge(json!({host(1): 1}));
+    let (code, verdict, _) = check(json!(even));
+    assert_eq!((code, &verdict["outcome"]), (Some(0), &json!("fine")));
+    let (code, verdict, _) = check(json!({host(1): 1}));
     assert_eq!(
-        (code, &told["outcome"], &told["findings"][0]["check"]),
+        (code, &verdict["outcome"], &verdict["findings"][0]["check"]),
         (Some(1), &json!("kept"), &json!("cut"))
     );
-    assert_eq!(told["findings"][0]["found"], 0.75);
-    assert_eq!(told["instead"][host(0)], 0.25);
-    let (code, _, told) = judge(json!({"here": 1}));
-    let told = String::from_utf8(told).unwrap();
-    assert!(code == Some(2) && told.contains("table.json") && told.contains("\"here\""), "{told}");
+    assert_eq!(verdict["findings"][0]["found"], 0.75);
+    assert_eq!(verdict["instead"][host(0)], 0.25);
+    let (code, _, errors) = check(json!({"here": 1}));
+    let errors = String::from_utf8(errors).unwrap();
+    assert!(code == Some(2) && errors.contains("table.json") && errors.contains("\"here\""), "{errors}");
 }
 
-/// A hand lays a bad table on a running pilot: it is refused, told, and let out once the checks are lifted.
+/// An operator freezes a table of a running pilot at lines that fail a check. The guard refuses and reports them, and
+/// publishes them once the check is overridden.
 #[test]
-fn the_guard_of_a_running_pilot_is_asked_and_told() {
+fn the_guard_of_a_running_pilot_takes_commands() {
     let folder = Folder::new("guard");
     folder.list(0..6);
     let socket = folder.0.join("control");
     let mut settings = folder.settings();
     settings["control"] = json!({"socket": socket.to_str().unwrap()});
     settings["guard"] = json!({"mode": "enforce"});
-    // No reports come here, so that health checks are all the evidence there is: none. A pin still holds.
+    // There are no reports and no health checks, so the guard has no evidence about servers. A pin still applies.
     let pilot = Pilot::start(&folder.write("settings.json", &settings.to_string()));
-    pilot.until("six servers", |answer| lines(answer) == 6);
+    pilot.query_until("six servers", |answer| count_records(answer) == 6);
     let run = |arguments: &[&str]| {
         let mut all = vec![arguments[0]];
         all.extend((arguments[0] == "guard").then_some("at"));
         all.extend(["--socket", socket.to_str().unwrap()]);
         all.extend(&arguments[1..]);
-        let done = program(&all);
-        match done.status.success() {
-            true => Ok(serde_json::from_slice::<Value>(&done.stdout).unwrap()),
-            false => Err(String::from_utf8(done.stderr).unwrap()),
+        let output = program(&all);
+        match output.status.success() {
+            true => Ok(serde_json::from_slice::<Value>(&output.stdout).unwrap()),
+            false => Err(String::from_utf8(output.stderr).unwrap()),
         }
     };
     run(&["guard", "pin", "10.0.0.1:7000", "0", "0.5", "60"]).unwrap();
     assert!(run(&["guard", "pin", "10.0.0.1:7000", "0.9", "0.5", "60"]).unwrap_err().contains("lower one"));
     assert!(run(&["guard", "override", "everything", "me", "60"]).is_err());
     assert!(run(&["guard", "override", "pinned", "me", "1e9"]).unwrap_err().contains("86400"));
-    let by_hand = folder.write("hand.json", &json!({"10.0.0.1:7000": 9, "10.0.0.2:7000": 1}).to_string());
-    let by_hand = by_hand.to_str().unwrap();
-    run(&["tables", "lay", "0", by_hand]).unwrap();
-    let told = run(&["guard", "explain"]).unwrap();
-    assert_eq!(told["verdicts"][0]["findings"][0]["check"], "pinned", "{told:#}");
-    assert_eq!((&told["verdicts"][0]["outcome"], &told["pins"][0]["most"]), (&json!("kept"), &json!(0.5)));
-    assert_eq!(lines(&pilot.ask([127, 0, 0, 1]).unwrap()), 6, "what was in place stays");
+    let frozen = folder.write("lines.json", &json!({"10.0.0.1:7000": 9, "10.0.0.2:7000": 1}).to_string());
+    let frozen = frozen.to_str().unwrap();
+    run(&["tables", "lay", "0", frozen]).unwrap();
+    let state = run(&["guard", "explain"]).unwrap();
+    assert_eq!(state["verdicts"][0]["findings"][0]["check"], "pinned", "{state:#}");
+    assert_eq!((&state["verdicts"][0]["outcome"], &state["pins"][0]["most"]), (&json!("kept"), &json!(0.5)));
+    assert_eq!(count_records(&pilot.query([127, 0, 0, 1]).unwrap()), 6, "the table in place is kept");
     assert!(pilot.page("/metrics").contains("oatlever_guard_verdicts_total{outcome=\"kept\"}"));
     run(&["guard", "override", "pinned", "me", "60"]).unwrap();
-    pilot.until("the hand's table", |answer| lines(answer) == 2);
+    pilot.query_until("the frozen table", |answer| count_records(answer) == 2);
     run(&["tables", "release", "0"]).unwrap();
-    pilot.until("six again", |answer| lines(answer) == 6);
+    pilot.query_until("six servers again", |answer| count_records(answer) == 6);
     assert!(run(&["tables", "lay", "0", "/nowhere"]).unwrap_err().contains("/nowhere"));
-    let nonsense = folder.write("hand.json", "[1]");
-    assert!(run(&["tables", "lay", "0", nonsense.to_str().unwrap()]).is_err());
+    let invalid = folder.write("lines.json", "[1]");
+    assert!(run(&["tables", "lay", "0", invalid.to_str().unwrap()]).is_err());
 }
 
-/// A pilot with prices says on its pages that nothing is known yet; a model is planned offline, as it is and
-/// otherwise, and what is wrong is told by name.
+/// A pilot with prices but no reports shows on `/status` that its plan is unknown. Plans are made offline from a model,
+/// unchanged and with options, and invalid input is reported by name.
 #[test]
-fn plans_are_told_and_made_offline() {
+fn plans_are_shown_and_made_offline() {
     let folder = Folder::new("plan");
     folder.list(0..6);
     let mut settings = folder.settings();
@@ -482,7 +490,7 @@
     settings["control"] = json!({"socket": socket.to_str().unwrap()});
     settings["costs"] = json!({"prices": {"north": 2}});
     let pilot = Pilot::start(&folder.write("settings.json", &settings.to_string()));
-    pilot.until("six servers", |answer| lines(answer) == 6);
+    pilot.query_until("six servers", |answer| count_records(answer) == 6);
     let status: Value = serde_json::from_str(&pilot.page("/status")).unwrap();
     assert_eq!(status["plan"]["outcome"], "unknown");
     assert!(pilot.page("/metrics").contains("oatlever_plans_total{outcome=\"unknown\"}"));
@@ -496,25 +504,25 @@
     let model = json!({"zones": ["north", "south"], "classes": [{"name": "search", "work": 0.5, "benefit": 1}],
                        "pools": [pool(0, 1.0), pool(1, 3.0)], "demand": [[10], [16]]});
     let path = folder.write("model.json", &model.to_string());
-    let planned = |what: &[&str]| {
-        let done = program(&[&["plan", path.to_str().unwrap()], what].concat());
-        let told = String::from_utf8(done.stdout).unwrap() + &String::from_utf8(done.stderr).unwrap();
-        (done.status.code(), told)
+    let plan = |options: &[&str]| {
+        let output = program(&[&["plan", path.to_str().unwrap()], options].concat());
+        let text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
+        (output.status.code(), text)
     };
-    let (code, told) = planned(&["--json"]);
-    let told: Value = serde_json::from_str(&told).unwrap();
-    // 13 units of work: 10 at 1, 3 at 3.
-    assert!(code == Some(0) && (told["plan"]["cost"].as_f64().unwrap() - 19.0).abs() < 0.01, "{told:#}");
-    let (code, told) = planned(&["--lost", "north"]);
-    assert!(code == Some(1) && told.contains("does not fit by 3.00"), "{told}");
-    let (code, told) = planned(&["--price", "north=5", "--demand", "0.5"]);
+    let (code, text) = plan(&["--json"]);
+    let value: Value = serde_json::from_str(&text).unwrap();
+    // 13 units of work: 10 at price 1, 3 at price 3.
+    assert!(code == Some(0) && (value["plan"]["cost"].as_f64().unwrap() - 19.0).abs() < 0.01, "{value:#}");
+    let (code, text) = plan(&["--lost", "north"]);
+    assert!(code == Some(1) && text.contains("does not fit by 3.00"), "{text}");
+    let (code, text) = plan(&["--price", "north=5", "--demand", "0.5"]);
     assert!(
-        code == Some(0) && told.contains("cost 19.5") && told.contains("without south: everything fits"),
-        "{told}"
+        code == Some(0) && text.contains("cost 19.5") && text.contains("without south: everything fits"),
+        "{text}"
     );
-    for wrong in [&["--lost", "west"], &["--price", "north"], &["--price", "north=x"]] {
-        assert!(matches!(planned(wrong), (Some(2), told) if told.contains(wrong[1])), "{wrong:?}");
+    for invalid in [&["--lost", "west"], &["--price", "north"], &["--price", "north=x"]] {
+        assert!(matches!(plan(invalid), (Some(2), text) if text.contains(invalid[1])), "{invalid:?}");
     }
     folder.write("model.json", &model.to_string().replace("0.5", "-0.5"));
-    assert!(matches!(planned(&[]), (Some(2), told) if told.contains("/classes/0/work: -0.5")));
+    assert!(matches!(plan(&[]), (Some(2), text) if text.contains("/classes/0/work: -0.5")));
 }
