--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -71,9 +71,9 @@
 /// The askers' address prefixes from the settings.
 fn prefixes(settings: &Settings) -> Prefixes {
     let mut prefixes = Prefixes::default();
-    for (place, asker) in settings.askers.iter().enumerate() {
+    for (index, asker) in settings.askers.iter().enumerate() {
         for (host, bits) in asker.prefixes.iter().filter_map(|text| checks::prefix(text).ok()) {
-            prefixes.insert(host, bits, place as u16);
+            prefixes.insert(host, bits, index as u16);
         }
     }
     prefixes
@@ -82,8 +82,8 @@
 impl Core {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let now = checks::CLOCK_START;
-        let owner = |(place, asker): (usize, &oatlever_settings::Asker)| Owner {
-            asker: place as u16,
+        let owner = |(index, asker): (usize, &oatlever_settings::Asker)| Owner {
+            asker: index as u16,
             zone: settings.zone(&asker.zone).unwrap_or(0),
             counted: asker.metrics.is_some(),
         };
--- a/pilot/src/dns_answers.rs
+++ b/pilot/src/dns_answers.rs
@@ -66,12 +66,12 @@
             .iter()
             .enumerate()
             .filter(|(_, asker)| asker.metrics.is_none() && asker.node.is_none());
-        for (place, asker) in resolving.filter(|_| !cold.is_empty()) {
-            let place = place as u16;
-            if let Some(table) = tables.bound(place) {
+        for (index, asker) in resolving.filter(|_| !cold.is_empty()) {
+            let index = index as u16;
+            if let Some(table) = tables.bound(index) {
                 // The usual rate covers all classes together. Adding it once per class would give cold servers
                 // several times their share until the first report.
-                let reported = self.rates.range((place, 0)..=(place, u8::MAX)).map(|(_, rate)| *rate);
+                let reported = self.rates.range((index, 0)..=(index, u8::MAX)).map(|(_, rate)| *rate);
                 *rates.entry(table).or_default() += reported.reduce(|a, b| a + b).unwrap_or(asker.usual_rate);
             }
         }
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -113,13 +113,13 @@
 
     fn level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
         let classes = &self.settings.classes;
-        let place = usize::from(class);
+        let index = usize::from(class);
         let parent = &mut *self.parent;
-        let tries = parent.guard.tries(table, class, classes[place].once, tries, parent.state.now);
+        let tries = parent.guard.tries(table, class, classes[index].once, tries, parent.state.now);
         let Some(relief) = parent.guard.relief(table) else { return (level, tries) };
         let benefit: Vec<f64> = classes.iter().map(|class| class.benefit).collect();
         let demand = parent.evidence.by_class(parent.holders.of(table), classes.len());
-        (level.min(relief.levels(&benefit, &demand)[place]), tries)
+        (level.min(relief.levels(&benefit, &demand)[index]), tries)
     }
 }
 
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -94,7 +94,7 @@
             .iter()
             .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), to: to(grant)? }));
         let nodes = settings.askers.iter().enumerate();
-        let nodes = nodes.filter_map(|(place, asker)| Some((asker.node.clone()?, place as u16)));
+        let nodes = nodes.filter_map(|(index, asker)| Some((asker.node.clone()?, index as u16)));
         XdsHandler { pilot, grants: Grants::new(&grants.collect::<Vec<_>>()), askers: nodes.collect() }
     }
 }
@@ -171,9 +171,9 @@
 
     fn targets(&self) -> BTreeMap<Target, fetch::Place> {
         let mut core = self.0.core.borrow_mut();
-        let askers = core.settings.askers.iter().enumerate().filter_map(|(place, asker)| {
+        let askers = core.settings.askers.iter().enumerate().filter_map(|(index, asker)| {
             let endpoint = asker.metrics.as_ref().and_then(|url| fetch::Place::parse(url))?;
-            Some((Target::Asker(place as u16), endpoint))
+            Some((Target::Asker(index as u16), endpoint))
         });
         // A server that is gone from the list is scraped as long as a table names it: the list may be wrong, and
         // the server may still serve.
--- a/pilot/src/status.rs
+++ b/pilot/src/status.rs
@@ -52,10 +52,10 @@
         json!({"table": table, "version": version, "users": users,
                "lines": lines.collect::<serde_json::Map<_, _>>()})
     });
-    let askers = core.settings.askers.iter().enumerate().map(|(place, asker)| {
-        let place = place as u16;
-        let held = core.tables.held(place, 0);
-        json!({"name": asker.name, "zone": asker.zone, "up": core.presence.is_up(place),
+    let askers = core.settings.askers.iter().enumerate().map(|(index, asker)| {
+        let index = index as u16;
+        let held = core.tables.held(index, 0);
+        json!({"name": asker.name, "zone": asker.zone, "up": core.presence.is_up(index),
                "table": held.map(|view| view.table)})
     });
     let servers = core.book.members().iter().map(|(server, member)| {
