--- a/askers/src/cookies.rs
+++ b/askers/src/cookies.rs
@@ -17,13 +17,13 @@
 
 /// What a cookie option proves about its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum CookieStatus {
     /// Not a cookie at all (RFC 7873, section 5.2.2): its length is wrong.
     Malformed,
     /// The sender may be anybody; this is the option to answer with.
-    Unproven(Vec<u8>),
+    Unverified(Vec<u8>),
     /// The sender gets what is sent to its address; this is the option to answer with.
-    Proven(Vec<u8>),
+    Verified(Vec<u8>),
 }
 
 #[derive(Clone)]
@@ -51,21 +51,21 @@
     }
 
     /// Judges the data of a cookie option from a source, `now` seconds after some fixed moment.
-    pub fn judge(&self, data: &[u8], source: IpAddr, now: f64) -> Proof {
+    pub fn verify(&self, data: &[u8], source: IpAddr, now: f64) -> CookieStatus {
         let (time, length) = (now as u32, data.len());
         if length != CLIENT && !(CLIENT + 8..=CLIENT + 32).contains(&length) {
-            return Proof::Malformed;
+            return CookieStatus::Malformed;
         }
         let client = &data[..CLIENT];
         let fresh = || self.make(client, source, time);
         if length != CLIENT + SERVER || data[CLIENT..CLIENT + 4] != [1, 0, 0, 0] {
-            return Proof::Unproven(fresh());
+            return CookieStatus::Unverified(fresh());
         }
         let made = u32::from_be_bytes([data[12], data[13], data[14], data[15]]);
         let age = time.wrapping_sub(made);
         if age > GOOD_FOR || self.make(client, source, made) != data {
-            return Proof::Unproven(fresh());
+            return CookieStatus::Unverified(fresh());
         }
-        Proof::Proven(if age > RENEWED { fresh() } else { data.to_vec() })
+        CookieStatus::Verified(if age > RENEWED { fresh() } else { data.to_vec() })
     }
 }
--- a/askers/src/lib.rs
+++ b/askers/src/lib.rs
@@ -7,7 +7,7 @@
 mod prefixes;
 mod presence;
 
-pub use cookies::{Cookies, Proof};
-pub use limits::{Allowance, Limits};
-pub use prefixes::Prefixes;
+pub use cookies::{CookieStatus, Cookies};
+pub use limits::{RateDecision, RateLimiter};
+pub use prefixes::PrefixTrie;
 pub use presence::Presence;
--- a/askers/src/limits.rs
+++ b/askers/src/limits.rs
@@ -9,7 +9,7 @@
 
 /// What becomes of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Allowance {
+pub enum RateDecision {
     Answer,
     /// Over the limit: a truncated answer, so that who is really there can come by TCP.
     Truncate,
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct RateLimiter {
     rate: f64,
     burst: f64,
     mask: u32,
@@ -42,16 +42,16 @@
     sets: Vec<Vec<Bucket>>,
 }
 
-impl Limits {
+impl RateLimiter {
     /// `rate` answers a second and `burst` at once for each prefix of so many bits, `most` prefixes
     /// remembered. The key keeps outsiders from choosing whom they share a set with.
     pub fn new(rate: f64, burst: f64, bits: u8, most: usize, key: (u64, u64)) -> Self {
         let mask = u32::MAX.checked_shl(32 - u32::from(bits.min(32))).unwrap_or(0);
-        Limits { rate, burst, mask, key, sets: vec![Vec::new(); most.div_ceil(WAYS).max(1)] }
+        RateLimiter { rate, burst, mask, key, sets: vec![Vec::new(); most.div_ceil(WAYS).max(1)] }
     }
 
     /// What becomes of one more question from this source; an answer is counted.
-    pub fn take(&mut self, source: std::net::Ipv4Addr, now: f64) -> Allowance {
+    pub fn check(&mut self, source: std::net::Ipv4Addr, now: f64) -> RateDecision {
         let prefix = u32::from(source) & self.mask;
         let mut hasher = SipHasher13::new_with_keys(self.key.0, self.key.1);
         hasher.write_u32(prefix);
@@ -75,19 +75,19 @@
         bucket.at = now;
         if open >= 1.0 {
             bucket.left = open - 1.0;
-            return Allowance::Answer;
+            return RateDecision::Answer;
         }
         bucket.left = open;
         bucket.over = bucket.over.wrapping_add(1);
         if bucket.over.is_multiple_of(SLIP) {
-            Allowance::Truncate
+            RateDecision::Truncate
         } else {
-            Allowance::Drop
+            RateDecision::Drop
         }
     }
 
     /// Prefixes remembered now.
-    pub fn remembered(&self) -> usize {
+    pub fn prefix_count(&self) -> usize {
         self.sets.iter().map(Vec::len).sum()
     }
 }
--- a/askers/src/prefixes.rs
+++ b/askers/src/prefixes.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Prefixes {
+pub struct PrefixTrie {
     nodes: Vec<Node>,
 }
 
@@ -28,13 +28,13 @@
     (path >> (31 - u32::from(bits)) & 1) as usize
 }
 
-impl Default for Prefixes {
+impl Default for PrefixTrie {
     fn default() -> Self {
-        Prefixes { nodes: vec![Node { path: 0, bits: 0, owner: None, children: [None; 2] }] }
+        PrefixTrie { nodes: vec![Node { path: 0, bits: 0, owner: None, children: [None; 2] }] }
     }
 }
 
-impl Prefixes {
+impl PrefixTrie {
     /// A prefix, of up to 32 bits, belongs to `owner`; one given again moves to the later owner.
     pub fn insert(&mut self, prefix: Ipv4Addr, bits: u8, owner: u16) {
         let (bits, path) = (bits.min(32), masked(prefix.into(), bits.min(32)));
@@ -78,7 +78,7 @@
 
     /// The owner of the longest prefix that holds the address, and the bits that decided it: no address
     /// that shares so many with this one has another owner.
-    pub fn find(&self, address: Ipv4Addr) -> (Option<u16>, u8) {
+    pub fn longest_match(&self, address: Ipv4Addr) -> (Option<u16>, u8) {
         let path = u32::from(address);
         let (mut at, mut owner) = (0, self.nodes[0].owner);
         loop {
--- a/askers/src/presence.rs
+++ b/askers/src/presence.rs
@@ -37,7 +37,7 @@
     }
 
     /// A heartbeat. True where it brings the asker up.
-    pub fn sign(&mut self, id: u16, now: f64) -> bool {
+    pub fn heartbeat(&mut self, id: u16, now: f64) -> bool {
         let Some(asker) = self.askers.get_mut(usize::from(id)) else { return false };
         asker.sign = now;
         if asker.up {
@@ -49,14 +49,14 @@
     }
 
     /// A stream came up, or broke: no sign is needed while it holds. True where that changes anything.
-    pub fn set(&mut self, id: u16, up: bool) -> bool {
+    pub fn set_connected(&mut self, id: u16, up: bool) -> bool {
         let Some(asker) = self.askers.get_mut(usize::from(id)) else { return false };
         asker.lasting = up;
         std::mem::replace(&mut asker.up, up) != up
     }
 
     /// Those that went away by now. Each asker is looked at once in `away_after`, however often it signs.
-    pub fn sweep(&mut self, now: f64) -> Vec<u16> {
+    pub fn expire(&mut self, now: f64) -> Vec<u16> {
         let mut gone = Vec::new();
         while let Some((at, id)) = self.watch.front().copied().filter(|(at, _)| *at <= now) {
             self.watch.pop_front();
@@ -74,7 +74,7 @@
         gone
     }
 
-    pub fn next_at(&self) -> Option<f64> {
+    pub fn next_check(&self) -> Option<f64> {
         self.watch.front().map(|(at, _)| *at)
     }
 }
--- a/askers/tests/askers.rs
+++ b/askers/tests/askers.rs
@@ -1,4 +1,4 @@
-use oatlever_askers::{Allowance, Cookies, Limits, Prefixes, Presence, Proof};
+use oatlever_askers::{CookieStatus, Cookies, PrefixTrie, Presence, RateDecision, RateLimiter};
 use quickcheck::quickcheck;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -16,7 +16,7 @@
 quickcheck! {
     /// Addresses are drawn close to each other, so that prefixes nest and part.
     fn the_longest_prefix_is_found(given: Vec<(u16, u8, u16)>, asked: Vec<u16>, other: u16) -> bool {
-        let (mut trie, mut plain) = (Prefixes::default(), BTreeMap::new());
+        let (mut trie, mut plain) = (PrefixTrie::default(), BTreeMap::new());
         let near = |n: u16| 0x7f00_0000 | u32::from(n & 0x1ff) << 20 | u32::from(n >> 9);
         for (n, bits, owner) in given {
             let bits = bits % 33;
@@ -26,7 +26,7 @@
         }
         asked.iter().all(|n| {
             let host = near(*n);
-            let (owner, scope) = trie.find(host.into());
+            let (owner, scope) = trie.longest_match(host.into());
             // Whoever shares the bits that decided has the same owner.
             let neighbour = masked(host, scope) | (u32::from(other) << 8 & !masked(u32::MAX, scope));
             owner == scan(&plain, host) && scan(&plain, neighbour) == owner
@@ -36,16 +36,16 @@
     /// However sources ask, none gets more than its burst and rate, whoever else floods.
     fn no_source_gets_more_than_its_rate(asked: Vec<(u8, u8)>) -> bool {
         let (rate, burst) = (10.0, 4.0);
-        let mut limits = Limits::new(rate, burst, 32, 64, (1, 2));
+        let mut limits = RateLimiter::new(rate, burst, 32, 64, (1, 2));
         let (mut now, mut got) = (0.0, BTreeMap::new());
         for (source, step) in asked {
             now += f64::from(step % 4) * 0.01;
             let host = Ipv4Addr::new(10, 0, 0, source % 3);
-            if limits.take(host, now) == Allowance::Answer {
+            if limits.check(host, now) == RateDecision::Answer {
                 *got.entry(host).or_insert(0.0) += 1.0;
             }
             // A flood from ever new sources must not make a limited one look new.
-            limits.take(Ipv4Addr::new(192, source, step, 1), now);
+            limits.check(Ipv4Addr::new(192, source, step, 1), now);
         }
         got.values().all(|answers| *answers <= burst + rate * now + 1e-9)
     }
@@ -53,18 +53,18 @@
 
 #[test]
 fn a_flood_of_new_sources_keeps_memory_bounded_and_holds_back_the_old() {
-    let mut limits = Limits::new(1.0, 2.0, 32, 128, (3, 4));
+    let mut limits = RateLimiter::new(1.0, 2.0, 32, 128, (3, 4));
     let busy = Ipv4Addr::new(10, 1, 1, 1);
     let mut answered = 0;
     for n in 0..100_000u32 {
-        limits.take(Ipv4Addr::from(0xc000_0000 + n), 0.0);
-        answered += u32::from(limits.take(busy, 0.0) == Allowance::Answer);
+        limits.check(Ipv4Addr::from(0xc000_0000 + n), 0.0);
+        answered += u32::from(limits.check(busy, 0.0) == RateDecision::Answer);
     }
-    assert!(limits.remembered() <= 128, "{} prefixes", limits.remembered());
+    assert!(limits.prefix_count() <= 128, "{} prefixes", limits.prefix_count());
     assert_eq!(answered, 2);
     // One in two of those held back is told to come by TCP.
-    let next: Vec<_> = (0..4).map(|_| limits.take(busy, 0.0)).collect();
-    assert_eq!(next.iter().filter(|a| **a == Allowance::Truncate).count(), 2);
+    let next: Vec<_> = (0..4).map(|_| limits.check(busy, 0.0)).collect();
+    assert_eq!(next.iter().filter(|a| **a == RateDecision::Truncate).count(), 2);
 }
 
 /// RFC 9018, appendix A.1: learning a new server cookie.
@@ -77,22 +77,22 @@
     let (cookies, source) = (Cookies::new(key), IpAddr::from([198, 51, 100, 100]));
     let (client, now) = (bytes("2464c4abcf10c957"), 1_559_731_985.0);
     let whole = bytes("2464c4abcf10c957010000005cf79f111f8130c3eee29480");
-    assert_eq!(cookies.judge(&client, source, now), Proof::Unproven(whole.clone()));
-    assert_eq!(cookies.judge(&whole, source, now), Proof::Proven(whole.clone()));
+    assert_eq!(cookies.verify(&client, source, now), CookieStatus::Unverified(whole.clone()));
+    assert_eq!(cookies.verify(&whole, source, now), CookieStatus::Verified(whole.clone()));
     // Taken by somebody else, changed, or too old, it proves nothing.
-    assert!(matches!(cookies.judge(&whole, [198, 51, 100, 101].into(), now), Proof::Unproven(_)));
+    assert!(matches!(cookies.verify(&whole, [198, 51, 100, 101].into(), now), CookieStatus::Unverified(_)));
     for place in 0..whole.len() {
         let mut forged = whole.clone();
         forged[place] ^= 1;
-        assert!(matches!(cookies.judge(&forged, source, now), Proof::Unproven(_)), "byte {place}");
+        assert!(matches!(cookies.verify(&forged, source, now), CookieStatus::Unverified(_)), "byte {place}");
     }
-    assert!(matches!(cookies.judge(&whole, source, now + 3601.0), Proof::Unproven(_)));
-    match cookies.judge(&whole, source, now + 1801.0) {
-        Proof::Proven(renewed) => assert_ne!(renewed, whole),
+    assert!(matches!(cookies.verify(&whole, source, now + 3601.0), CookieStatus::Unverified(_)));
+    match cookies.verify(&whole, source, now + 1801.0) {
+        CookieStatus::Verified(renewed) => assert_ne!(renewed, whole),
         other => panic!("{other:?}"),
     }
     for length in [0, 7, 9, 15, 41] {
-        assert_eq!(cookies.judge(&vec![0; length], source, now), Proof::Malformed, "{length} bytes");
+        assert_eq!(cookies.verify(&vec![0; length], source, now), CookieStatus::Malformed, "{length} bytes");
     }
 }
 
@@ -100,15 +100,15 @@
 fn silence_takes_an_asker_away_and_a_sign_brings_it_back() {
     let mut presence = Presence::new(&[false, true, false], 5.0);
     assert_eq!(presence.up().collect::<Vec<_>>(), [1]);
-    assert!(presence.sign(0, 1.0));
-    assert!(!presence.sign(0, 4.0));
-    assert!(presence.sign(2, 2.0));
+    assert!(presence.heartbeat(0, 1.0));
+    assert!(!presence.heartbeat(0, 4.0));
+    assert!(presence.heartbeat(2, 2.0));
     // The one that signed later stays.
-    assert_eq!(presence.sweep(8.0), [2]);
-    assert_eq!(presence.sweep(8.9), [] as [u16; 0]);
-    assert_eq!(presence.sweep(9.0), [0]);
-    assert_eq!(presence.sweep(1e9), [] as [u16; 0]);
+    assert_eq!(presence.expire(8.0), [2]);
+    assert_eq!(presence.expire(8.9), [] as [u16; 0]);
+    assert_eq!(presence.expire(9.0), [0]);
+    assert_eq!(presence.expire(1e9), [] as [u16; 0]);
     assert!(presence.is_up(1));
-    assert!(presence.sign(2, 20.0));
-    assert_eq!(presence.sweep(25.0), [2]);
+    assert!(presence.heartbeat(2, 20.0));
+    assert_eq!(presence.expire(25.0), [2]);
 }
--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -4,7 +4,7 @@
 use async_io::Async;
 use hdrhistogram::Histogram;
 use oatlever::round::Address;
-use oatlever_askers::Prefixes;
+use oatlever_askers::PrefixTrie;
 use oatlever_dns::{serve_udp, Desk, Front, Handler, Via};
 use oatlever_handout::{Answer, Handout, Lives, Who};
 use oatlever_settings::Settings;
@@ -176,7 +176,7 @@
             });
         }
         let settings = settings();
-        let mut prefixes = Prefixes::default();
+        let mut prefixes = PrefixTrie::default();
         prefixes.insert(Ipv4Addr::new(127, 0, 0, 0), 8, 0);
         let served = Served {
             front: RefCell::new(Front::new(&settings, Rc::new(prefixes), 1).expect("a front")),
--- a/benches/src/structures.rs
+++ b/benches/src/structures.rs
@@ -1,7 +1,7 @@
 //! Our structures beside plain ones doing the same.
 
 use crate::fleet::server;
-use oatlever_askers::{Limits, Prefixes};
+use oatlever_askers::{PrefixTrie, RateLimiter};
 use oatlever_tables::Index;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
@@ -46,7 +46,7 @@
         row("a draw by weight: index, map", usize::from(size), ours, plain);
     }
     for size in [12u32, 500, 5000] {
-        let (mut trie, mut list) = (Prefixes::default(), Vec::new());
+        let (mut trie, mut list) = (PrefixTrie::default(), Vec::new());
         for n in 0..size {
             let bits = 20 + (n % 13) as u8;
             let prefix = chance.u32(..) & u32::MAX << (32 - bits);
@@ -56,7 +56,7 @@
         let hosts: Vec<Ipv4Addr> =
             (0..1000).map(|n| Ipv4Addr::from(list[n % list.len()].0 | chance.u32(..) & 0xff)).collect();
         let ours = time(100_000, |n| {
-            black_box(trie.find(hosts[n as usize % 1000]));
+            black_box(trie.longest_match(hosts[n as usize % 1000]));
         });
         let plain = time(20_000, |n| {
             let host = u32::from(hosts[n as usize % 1000]);
@@ -66,10 +66,12 @@
         row("whose address: trie, list of prefixes", size as usize, ours, plain);
     }
     for size in [1000u32, 100_000] {
-        let mut limits = Limits::new(10.0, 20.0, 32, 65_536, (1, 2));
+        let mut limits = RateLimiter::new(10.0, 20.0, 32, 65_536, (1, 2));
         let mut plain: HashMap<u32, (f64, f64)> = HashMap::new();
         let ours = time(400_000, |n| {
-            black_box(limits.take(Ipv4Addr::from(n.wrapping_mul(2_654_435_761) % size), f64::from(n) * 1e-5));
+            black_box(
+                limits.check(Ipv4Addr::from(n.wrapping_mul(2_654_435_761) % size), f64::from(n) * 1e-5),
+            );
         });
         let plainly = time(400_000, |n| {
             let now = f64::from(n) * 1e-5;
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -7,7 +7,7 @@
 use hickory_proto::rr::rdata::{A, HINFO, NS, SOA, SRV};
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 use hickory_proto::ProtoError;
-use oatlever_askers::{Allowance, Cookies, Limits, Prefixes, Proof};
+use oatlever_askers::{CookieStatus, Cookies, PrefixTrie, RateDecision, RateLimiter};
 use oatlever_handout::Answer;
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{Index, View};
@@ -59,17 +59,17 @@
 
 pub struct Front {
     names: Names,
-    prefixes: Rc<Prefixes>,
+    prefixes: Rc<PrefixTrie>,
     /// By zone: the asker that stands for whoever else asks there.
     rest: Vec<Option<u16>>,
     /// By asker.
     zones: Vec<u16>,
-    trusted: Prefixes,
+    trusted: PrefixTrie,
     lifetime: u32,
     udp_bytes: u16,
     most_addresses: usize,
     own: Ipv4Addr,
-    limits: Limits,
+    limits: RateLimiter,
     cookies: Cookies,
     prepared: Prepared,
     made: Addresses,
@@ -86,11 +86,11 @@
 impl Front {
     /// `prefixes` say whose an address is. Errors: the origin is no domain name. `seed` starts the chance
     /// of draws and the keys of cookies.
-    pub fn new(settings: &Settings, prefixes: Rc<Prefixes>, seed: u64) -> Result<Self, ProtoError> {
+    pub fn new(settings: &Settings, prefixes: Rc<PrefixTrie>, seed: u64) -> Result<Self, ProtoError> {
         let mut chance = fastrand::Rng::with_seed(seed);
         let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
         let names = Names::new(&settings.dns.origin, classes, settings.zones.clone())?;
-        let mut trusted = Prefixes::default();
+        let mut trusted = PrefixTrie::default();
         let (mut rest, mut zones) = (vec![None; settings.zones.len()], Vec::new());
         for (place, asker) in settings.askers.iter().enumerate() {
             let zone = settings.zone(&asker.zone).unwrap_or(0);
@@ -115,7 +115,7 @@
             udp_bytes: settings.dns.udp_bytes,
             most_addresses: settings.dns.addresses,
             own: settings.dns.address,
-            limits: Limits::new(
+            limits: RateLimiter::new(
                 limits.answers_per_second,
                 limits.burst,
                 limits.prefix_bits,
@@ -149,25 +149,25 @@
         let host = plain(source.ip());
         let cookie = asked.as_ref().and_then(|m| m.edns.as_ref()).and_then(cookie);
         let mut proven = via == Via::Tcp;
-        match cookie.map(|data| self.cookies.judge(data, source.ip(), now)) {
+        match cookie.map(|data| self.cookies.verify(data, source.ip(), now)) {
             None => {}
-            Some(Proof::Malformed) => reply.fail(ResponseCode::FormErr),
-            Some(Proof::Unproven(data)) => reply.option(EdnsOption::Unknown(COOKIE, data)),
-            Some(Proof::Proven(data)) => {
+            Some(CookieStatus::Malformed) => reply.fail(ResponseCode::FormErr),
+            Some(CookieStatus::Unverified(data)) => reply.option(EdnsOption::Unknown(COOKIE, data)),
+            Some(CookieStatus::Verified(data)) => {
                 proven = true;
                 self.counts.proven += 1;
                 reply.option(EdnsOption::Unknown(COOKIE, data));
             }
         }
         if !proven {
-            match host.map_or(Allowance::Answer, |host| self.limits.take(host, now)) {
-                Allowance::Answer => {}
-                Allowance::Truncate => {
+            match host.map_or(RateDecision::Answer, |host| self.limits.check(host, now)) {
+                RateDecision::Answer => {}
+                RateDecision::Truncate => {
                     self.counts.shortened += 1;
                     reply.metadata.truncation = true;
                     return reply.finish(usize::from(PLAIN_UDP), &mut self.counts);
                 }
-                Allowance::Drop => {
+                RateDecision::Drop => {
                     self.counts.limited += 1;
                     return None;
                 }
@@ -296,7 +296,7 @@
             _ => None,
         });
         let Some(stated) = stated else { return Client { host: source, subnet: None } };
-        let trusted = source.is_some_and(|source| self.trusted.find(source).0.is_some());
+        let trusted = source.is_some_and(|source| self.trusted.longest_match(source).0.is_some());
         let host = plain(stated.addr()).filter(|_| trusted && stated.source_prefix() > 0);
         Client { host: host.or(source), subnet: Some((stated, host.is_some())) }
     }
@@ -304,14 +304,16 @@
     /// Bits of the stated subnet that the answer holds for; never more than were stated.
     fn scope(&self, client: &Client) -> u8 {
         match (client.host, &client.subnet) {
-            (Some(host), Some((subnet, true))) => self.prefixes.find(host).1.min(subnet.source_prefix()),
+            (Some(host), Some((subnet, true))) => {
+                self.prefixes.longest_match(host).1.min(subnet.source_prefix())
+            }
             _ => 0,
         }
     }
 
     /// Who asks: by its address, unless the name says another zone; then the rest of that zone.
     fn asker(&mut self, reply: &mut Reply, client: &Client, zone: Option<u16>) -> Option<u16> {
-        let owner = client.host.and_then(|host| self.prefixes.find(host).0);
+        let owner = client.host.and_then(|host| self.prefixes.longest_match(host).0);
         let fits = |asker: &u16| zone.is_none_or(|zone| self.zones[usize::from(*asker)] == zone);
         let rest = || zone.and_then(|zone| self.rest[usize::from(zone)]);
         let found = owner.filter(fits).or_else(rest);
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -5,7 +5,7 @@
 use domain::base::{Message, MessageBuilder, Name};
 use domain::rdata::{AllRecordData, Hinfo, Ns, Soa, Srv, A};
 use oatlever::round::{Address, Writer};
-use oatlever_askers::Prefixes;
+use oatlever_askers::PrefixTrie;
 use oatlever_dns::{Desk, Front, Via};
 use oatlever_handout::{Answer, Handout, Lives, Who};
 use oatlever_settings::Settings;
@@ -70,7 +70,7 @@
     /// an empty one.
     fn new(servers: u8) -> Self {
         let settings = settings();
-        let mut prefixes = Prefixes::default();
+        let mut prefixes = PrefixTrie::default();
         for (asker, third) in [(0, 1), (2, 9), (3, 8)] {
             prefixes.insert(Ipv4Addr::new(127, 0, third, 0), 24, asker);
         }
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -8,7 +8,7 @@
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, HealthAnswer, List, ListNews, Round, Stream};
-use oatlever_askers::{Prefixes, Presence};
+use oatlever_askers::{PrefixTrie, Presence};
 use oatlever_dns::Desk;
 use oatlever_handout::Answer;
 use oatlever_reports::{Counters, Owner, Sums, Target, Text};
@@ -52,7 +52,7 @@
     pub sums: Sums,
     counters: BTreeMap<Target, Counters>,
     owners: Vec<Owner>,
-    pub prefixes: Rc<Prefixes>,
+    pub prefixes: Rc<PrefixTrie>,
     round: Round,
     timers: Timers,
     flush_at: f64,
@@ -66,8 +66,8 @@
     pub counts: Counts,
 }
 
-fn prefixes(settings: &Settings) -> Prefixes {
-    let mut prefixes = Prefixes::default();
+fn prefixes(settings: &Settings) -> PrefixTrie {
+    let mut prefixes = PrefixTrie::default();
     for (place, asker) in settings.askers.iter().enumerate() {
         for (host, bits) in asker.prefixes.iter().filter_map(|text| checks::prefix(text).ok()) {
             prefixes.insert(host, bits, place as u16);
@@ -158,7 +158,7 @@
 
     /// A heartbeat. True where a round is due at once, as the asker holds no table yet.
     fn sign(&mut self, asker: u16, now: f64) -> bool {
-        let came = self.presence.sign(asker, now);
+        let came = self.presence.heartbeat(asker, now);
         if came {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is there");
             self.stream(asker, true);
@@ -168,7 +168,7 @@
 
     /// A stream came up, or broke.
     pub fn hold_stream(&mut self, asker: u16, up: bool) {
-        if !self.presence.set(asker, up) {
+        if !self.presence.set_connected(asker, up) {
             return;
         }
         let name = &self.settings.askers[usize::from(asker)].name;
@@ -276,7 +276,7 @@
             }
             Target::Server(server) => {
                 let (owners, prefixes) = (&self.owners, &self.prefixes);
-                let owner = |host| prefixes.find(host).0.map(|asker| owners[usize::from(asker)]);
+                let owner = |host| prefixes.longest_match(host).0.map(|asker| owners[usize::from(asker)]);
                 self.sums.server(server, &gain, owner);
             }
         }
@@ -302,7 +302,7 @@
 
     /// Takes up what is due by now and calls the decisions. Returns whether there was anything to do.
     pub fn step(&mut self, now: f64) -> bool {
-        for asker in self.presence.sweep(now) {
+        for asker in self.presence.expire(now) {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is away");
             self.stream(asker, false);
             self.tables.leave(asker);
@@ -391,7 +391,7 @@
 
     /// When [`Core::step`] has something to do next, if nothing comes in before.
     pub fn next_at(&self) -> f64 {
-        let others = [self.timers.next_at(), self.presence.next_at()];
+        let others = [self.timers.next_at(), self.presence.next_check()];
         others.into_iter().flatten().fold(self.flush_at, f64::min)
     }
 }
