--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use oatlever::round::Address;
 use oatlever_askers::PrefixTrie;
-use oatlever_dns::{serve_udp, Desk, Front, Handler, Via};
+use oatlever_dns::{serve_udp, Backend, Front, Handler, Transport};
 use oatlever_handout::{Answer, Handout, Lives, Who};
 use oatlever_settings::Settings;
 use oatlever_tables::View;
@@ -27,12 +27,19 @@
     chance: fastrand::Rng,
 }
 
-impl Desk for Book {
-    fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
+impl Backend for Book {
+    fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
         self.fleet.tables.hand_out(asker, class, now);
         self.fleet.tables.held(asker, class)
     }
-    fn addresses(&mut self, asker: u16, class: u16, _: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        _: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer> {
         self.fleet.tables.hand_out(asker, class, now);
         let view = self.fleet.tables.held(asker, class)?;
         let chance = &mut self.chance;
@@ -40,10 +47,10 @@
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
         self.handout.answer(&view, Who { host, class, group: 100.0 }, most, zone, now, || chance.f64())
     }
-    fn knows(&self, _: Ipv4Addr) -> bool {
+    fn is_listed(&self, _: Ipv4Addr) -> bool {
         true
     }
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.fleet.tables.version()
     }
 }
@@ -55,9 +62,9 @@
 }
 
 impl Handler for Served {
-    fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>> {
+    fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>> {
         let now = 1000.0 + self.began.elapsed().as_secs_f64();
-        self.front.borrow_mut().answer(&mut *self.book.borrow_mut(), packet, source, via, now)
+        self.front.borrow_mut().answer(&mut *self.book.borrow_mut(), packet, source, transport, now)
     }
 }
 
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -1,6 +1,6 @@
 //! One question, one answer.
 
-use crate::names::{Names, What};
+use crate::names::{NameKind, Names};
 use crate::prepared::{question, Addresses, Prepared};
 use hickory_proto::op::{Edns, Message, MessageType, Metadata, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::opt::{ClientSubnet, EdnsCode, EdnsOption};
@@ -21,40 +21,47 @@
 const PLAIN_UDP: u16 = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Via {
+pub enum Transport {
     Udp,
     Tcp,
 }
 
 /// Where the front reads what was decided.
-pub trait Desk {
+pub trait Backend {
     /// What this asker may use for this class now; that it asks is noted.
-    fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>>;
+    fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>>;
     /// Addresses of up to so many servers for a host of this asker, by the same table and noted alike; with no
     /// server where the table has no line.
-    fn addresses(&mut self, asker: u16, class: u16, host: Ipv4Addr, most: usize, now: f64) -> Option<Answer>;
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        host: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer>;
     /// Whether a server of this address is listed.
-    fn knows(&self, host: Ipv4Addr) -> bool;
+    fn is_listed(&self, host: Ipv4Addr) -> bool;
     /// Counts changes of tables.
-    fn version(&self) -> u64;
+    fn tables_version(&self) -> u64;
 }
 
 /// What the front met, since its start.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
-    pub questions: u64,
+pub struct Counters {
+    pub queries: u64,
     /// By response code.
     pub answers: HashMap<ResponseCode, u64>,
     /// Packets that are no question, or from whom nothing may be sent to.
     pub dropped: u64,
     /// Over the limit of a source: dropped, and answered short.
-    pub limited: u64,
-    pub shortened: u64,
+    pub rate_limited: u64,
+    pub rate_limited_truncated: u64,
     pub truncated: u64,
     /// Answers to sources that proved their address by a cookie.
-    pub proven: u64,
+    pub cookie_verified: u64,
     /// Questions of addresses that no asker of the settings has.
-    pub strangers: u64,
+    pub unknown_clients: u64,
 }
 
 pub struct Front {
@@ -73,7 +80,7 @@
     cookies: Cookies,
     prepared: Prepared,
     made: Addresses,
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
 /// Who asks, as far as the message and its source tell.
@@ -125,37 +132,37 @@
             cookies: Cookies::new(key),
             prepared: Prepared::default(),
             made: Addresses::new()?,
-            counts: Counts::default(),
+            counters: Counters::default(),
         })
     }
 
     /// The bytes to answer a packet with; none where it deserves no answer.
     pub fn answer(
         &mut self,
-        desk: &mut dyn Desk,
+        desk: &mut dyn Backend,
         packet: &[u8],
         source: SocketAddr,
-        via: Via,
+        transport: Transport,
         now: f64,
     ) -> Option<Vec<u8>> {
         // A response, or what is too short to tell: answering could start a loop of two servers.
         if packet.len() < 12 || packet[2] & 0x80 != 0 {
-            self.counts.dropped += 1;
+            self.counters.dropped += 1;
             return None;
         }
-        self.counts.questions += 1;
+        self.counters.queries += 1;
         let asked = Message::from_vec(packet).ok();
         let mut reply = Reply::to(packet, asked.as_ref(), self.udp_bytes);
         let host = plain(source.ip());
         let cookie = asked.as_ref().and_then(|m| m.edns.as_ref()).and_then(cookie);
-        let mut proven = via == Via::Tcp;
+        let mut proven = transport == Transport::Tcp;
         match cookie.map(|data| self.cookies.verify(data, source.ip(), now)) {
             None => {}
             Some(CookieStatus::Malformed) => reply.fail(ResponseCode::FormErr),
             Some(CookieStatus::Unverified(data)) => reply.option(EdnsOption::Unknown(COOKIE, data)),
             Some(CookieStatus::Verified(data)) => {
                 proven = true;
-                self.counts.proven += 1;
+                self.counters.cookie_verified += 1;
                 reply.option(EdnsOption::Unknown(COOKIE, data));
             }
         }
@@ -163,41 +170,41 @@
             match host.map_or(RateDecision::Answer, |host| self.limits.check(host, now)) {
                 RateDecision::Answer => {}
                 RateDecision::Truncate => {
-                    self.counts.shortened += 1;
+                    self.counters.rate_limited_truncated += 1;
                     reply.metadata.truncation = true;
-                    return reply.finish(usize::from(PLAIN_UDP), &mut self.counts);
+                    return reply.finish(usize::from(PLAIN_UDP), &mut self.counters);
                 }
                 RateDecision::Drop => {
-                    self.counts.limited += 1;
+                    self.counters.rate_limited += 1;
                     return None;
                 }
             }
         }
-        let most = match (via, asked.as_ref().and_then(|m| m.edns.as_ref())) {
-            (Via::Tcp, _) => usize::from(u16::MAX),
-            (Via::Udp, None) => usize::from(PLAIN_UDP),
-            (Via::Udp, Some(edns)) => usize::from(edns.max_payload().clamp(PLAIN_UDP, self.udp_bytes)),
+        let most = match (transport, asked.as_ref().and_then(|m| m.edns.as_ref())) {
+            (Transport::Tcp, _) => usize::from(u16::MAX),
+            (Transport::Udp, None) => usize::from(PLAIN_UDP),
+            (Transport::Udp, Some(edns)) => usize::from(edns.max_payload().clamp(PLAIN_UDP, self.udp_bytes)),
         };
         if let Some(asked) = asked.as_ref().filter(|_| reply.metadata.response_code == ResponseCode::NoError)
         {
             let made = self.fill(&mut reply, desk, asked, packet, host, (most, now));
             match made {
                 Ok(Some(bytes)) => {
-                    *self.counts.answers.entry(ResponseCode::NoError).or_default() += 1;
+                    *self.counters.answers.entry(ResponseCode::NoError).or_default() += 1;
                     return Some(bytes);
                 }
                 Ok(None) => {}
                 Err(_) => reply.fail(ResponseCode::ServFail),
             }
         }
-        reply.finish(most, &mut self.counts)
+        reply.finish(most, &mut self.counters)
     }
 
     /// Fills the reply, or gives the finished bytes where they were prepared.
     fn fill(
         &mut self,
         reply: &mut Reply,
-        desk: &mut dyn Desk,
+        desk: &mut dyn Backend,
         asked: &Message,
         packet: &[u8],
         host: Option<Ipv4Addr>,
@@ -215,23 +222,23 @@
             reply.fail(ResponseCode::FormErr);
             return Ok(None);
         };
-        let what = self.names.what(query.name());
-        if what == What::Outside || query.query_class() != DNSClass::IN {
+        let what = self.names.classify(query.name());
+        if what == NameKind::OutsideOrigin || query.query_class() != DNSClass::IN {
             reply.fail(ResponseCode::Refused);
             return Ok(None);
         }
         let client = self.client(asked.edns.as_ref(), host);
         reply.metadata.authoritative = true;
         let kind = query.query_type();
-        if kind == RecordType::ANY && !matches!(what, What::Nothing | What::Between) {
+        if kind == RecordType::ANY && !matches!(what, NameKind::Nonexistent | NameKind::EmptyNonTerminal) {
             // RFC 8482, section 4.2.
             let data = HINFO::new("RFC8482".into(), String::new());
             reply.answers.push(self.record(query.name(), RData::HINFO(data)));
             return Ok(None);
         }
         match (what, kind) {
-            (What::Service { class, zone }, RecordType::SRV)
-            | (What::Addresses { class, zone }, RecordType::A) => {
+            (NameKind::Service { class, zone }, RecordType::SRV)
+            | (NameKind::Addresses { class, zone }, RecordType::A) => {
                 let Some(asker) = self.asker(reply, &client, zone) else { return Ok(None) };
                 reply.subnet(&client, self.scope(&client));
                 let Some(question) = question(packet) else {
@@ -243,25 +250,25 @@
                 if kind == RecordType::A {
                     let room = self.made.room(head, most)?.clamp(1, self.most_addresses);
                     let host = client.host.unwrap_or(Ipv4Addr::UNSPECIFIED);
-                    return match desk.addresses(asker, class, host, room, now) {
+                    return match desk.lookup_addresses(asker, class, host, room, now) {
                         Some(answer) if !answer.servers.is_empty() => {
                             let hosts: Vec<Ipv4Addr> =
                                 answer.servers.iter().map(|server| server.host.into()).collect();
                             self.made.message(head, &hosts, answer.lifetime).map(Some)
                         }
-                        Some(_) => self.no_data(reply, desk.version()).map(|()| None),
+                        Some(_) => self.no_data(reply, desk.tables_version()).map(|()| None),
                         None => {
                             reply.fail(ResponseCode::ServFail);
                             Ok(None)
                         }
                     };
                 }
-                let Some(view) = desk.asks(asker, class, now) else {
+                let Some(view) = desk.lookup(asker, class, now) else {
                     reply.fail(ResponseCode::ServFail);
                     return Ok(None);
                 };
                 if view.index.is_empty() {
-                    return self.no_data(reply, desk.version()).map(|()| None);
+                    return self.no_data(reply, desk.tables_version()).map(|()| None);
                 }
                 let key = (view.table, view.version, query.name());
                 let (names, lifetime) = (&self.names, self.lifetime);
@@ -270,21 +277,23 @@
                 reply.metadata.truncation = made.is_none();
                 return Ok(made);
             }
-            (What::Node(host), _) if !desk.knows(host) => self.no_name(reply, desk.version())?,
-            (What::Node(host), RecordType::A) => {
+            (NameKind::Node(host), _) if !desk.is_listed(host) => {
+                self.no_name(reply, desk.tables_version())?
+            }
+            (NameKind::Node(host), RecordType::A) => {
                 reply.answers.push(self.record(query.name(), RData::A(A(host))));
             }
-            (What::Apex, RecordType::SOA) => reply.answers.push(self.soa(desk.version())?),
-            (What::Apex, RecordType::NS) => {
+            (NameKind::Apex, RecordType::SOA) => reply.answers.push(self.soa(desk.tables_version())?),
+            (NameKind::Apex, RecordType::NS) => {
                 let data = RData::NS(NS(self.names.name_server.clone()));
                 reply.answers.push(self.record(query.name(), data));
                 reply.additionals.push(self.record(&self.names.name_server, RData::A(A(self.own))));
             }
-            (What::NameServer, RecordType::A) => {
+            (NameKind::NameServer, RecordType::A) => {
                 reply.answers.push(self.record(query.name(), RData::A(A(self.own))));
             }
-            (What::Nothing, _) => self.no_name(reply, desk.version())?,
-            _ => self.no_data(reply, desk.version())?,
+            (NameKind::Nonexistent, _) => self.no_name(reply, desk.tables_version())?,
+            _ => self.no_data(reply, desk.tables_version())?,
         }
         Ok(None)
     }
@@ -318,7 +327,7 @@
         let rest = || zone.and_then(|zone| self.rest[usize::from(zone)]);
         let found = owner.filter(fits).or_else(rest);
         if found.is_none() {
-            self.counts.strangers += 1;
+            self.counters.unknown_clients += 1;
             reply.fail(ResponseCode::Refused);
         }
         found
@@ -447,7 +456,7 @@
         }
     }
 
-    fn finish(self, most: usize, counts: &mut Counts) -> Option<Vec<u8>> {
+    fn finish(self, most: usize, counts: &mut Counters) -> Option<Vec<u8>> {
         *counts.answers.entry(self.metadata.response_code).or_default() += 1;
         let mut message = Message::new(self.metadata.id, MessageType::Response, self.metadata.op_code);
         message.metadata = self.metadata;
--- a/dns/src/lib.rs
+++ b/dns/src/lib.rs
@@ -12,6 +12,6 @@
 mod prepared;
 mod server;
 
-pub use front::{Counts, Desk, Front, Via};
-pub use names::{Names, What};
-pub use server::{serve_tcp, serve_udp, Gate, Handler, TcpLimits};
+pub use front::{Backend, Counters, Front, Transport};
+pub use names::{NameKind, Names};
+pub use server::{serve_tcp, serve_udp, Handler, TcpConnections, TcpLimits};
--- a/dns/src/names.rs
+++ b/dns/src/names.rs
@@ -16,7 +16,7 @@
 const NAME_SERVER: &str = "ns";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum NameKind {
     Service {
         class: u16,
         zone: Option<u16>,
@@ -29,11 +29,11 @@
     Apex,
     NameServer,
     /// Nothing itself, with names below it.
-    Between,
+    EmptyNonTerminal,
     /// No such name.
-    Nothing,
+    Nonexistent,
     /// Not under the origin.
-    Outside,
+    OutsideOrigin,
 }
 
 pub struct Names {
@@ -79,38 +79,38 @@
         self.node.prepend_label(host.to_string().replace('.', "-"))
     }
 
-    pub fn what(&self, name: &Name) -> What {
+    pub fn classify(&self, name: &Name) -> NameKind {
         let labels: Vec<&[u8]> = name.iter().collect();
-        let Some(split) = labels.len().checked_sub(self.labels.len()) else { return What::Outside };
+        let Some(split) = labels.len().checked_sub(self.labels.len()) else { return NameKind::OutsideOrigin };
         let (below, origin) = labels.split_at(split);
         if !origin.iter().zip(&self.labels).all(|(a, b)| a.eq_ignore_ascii_case(b)) {
-            return What::Outside;
+            return NameKind::OutsideOrigin;
         }
         let class = |label: &[u8]| place(label, &self.classes);
         let zone = |label: &[u8]| place(label, &self.zones);
         let service = |label: &[u8]| label.strip_prefix(b"_").and_then(class);
         let found = match below {
-            [] => Some(What::Apex),
-            [one] if same(one, NAME_SERVER) => Some(What::NameServer),
-            [one] if same(one, NODE) || same(one, "_tcp") => Some(What::Between),
+            [] => Some(NameKind::Apex),
+            [one] if same(one, NAME_SERVER) => Some(NameKind::NameServer),
+            [one] if same(one, NODE) || same(one, "_tcp") => Some(NameKind::EmptyNonTerminal),
             [one] => match (class(one), zone(one)) {
-                (Some(class), _) => Some(What::Addresses { class, zone: None }),
-                (None, zone) => zone.map(|_| What::Between),
+                (Some(class), _) => Some(NameKind::Addresses { class, zone: None }),
+                (None, zone) => zone.map(|_| NameKind::EmptyNonTerminal),
             },
-            [first, last] if same(last, NODE) => host(first).map(What::Node),
+            [first, last] if same(last, NODE) => host(first).map(NameKind::Node),
             [first, last] if same(last, "_tcp") => {
-                service(first).map(|class| What::Service { class, zone: None })
+                service(first).map(|class| NameKind::Service { class, zone: None })
             }
             [first, last] => zone(last).and_then(|zone| match class(first) {
-                Some(class) => Some(What::Addresses { class, zone: Some(zone) }),
-                None => same(first, "_tcp").then_some(What::Between),
+                Some(class) => Some(NameKind::Addresses { class, zone: Some(zone) }),
+                None => same(first, "_tcp").then_some(NameKind::EmptyNonTerminal),
             }),
             [first, middle, last] if same(middle, "_tcp") => {
                 let found = service(first).zip(zone(last));
-                found.map(|(class, zone)| What::Service { class, zone: Some(zone) })
+                found.map(|(class, zone)| NameKind::Service { class, zone: Some(zone) })
             }
             _ => None,
         };
-        found.unwrap_or(What::Nothing)
+        found.unwrap_or(NameKind::Nonexistent)
     }
 }
--- a/dns/src/server.rs
+++ b/dns/src/server.rs
@@ -1,6 +1,6 @@
 //! The sockets: UDP, and TCP by RFC 7766.
 
-use crate::front::Via;
+use crate::front::Transport;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -16,15 +16,15 @@
 
 /// Who answers.
 pub trait Handler {
-    fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>>;
+    fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>>;
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct TcpLimits {
-    pub connections: usize,
-    pub connections_each: usize,
+    pub max_connections: usize,
+    pub max_per_source: usize,
     /// s; a connection that brings no whole question, or takes no answer, for so long is closed.
-    pub idle: f64,
+    pub idle_timeout: f64,
 }
 
 /// Answers for ever. Errors: the socket itself fails, not single packets.
@@ -39,7 +39,7 @@
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => continue,
             Err(e) => return Err(e),
         };
-        if let Some(answer) = handler.answer(&packet[..length], source, Via::Udp) {
+        if let Some(answer) = handler.answer(&packet[..length], source, Transport::Udp) {
             // What the network does not take is lost, as over UDP anything may be: the client asks again.
             let _ = socket.send_to(&answer, source).await;
         }
@@ -52,7 +52,7 @@
 }
 
 /// Who is let in over TCP, and whether answers are still under way.
-pub struct Gate {
+pub struct TcpConnections {
     limits: TcpLimits,
     open: RefCell<HashMap<IpAddr, usize>>,
     in_hand: Cell<usize>,
@@ -61,21 +61,21 @@
 
 /// A connection, while it lives.
 struct Seat {
-    gate: Rc<Gate>,
+    gate: Rc<TcpConnections>,
     source: IpAddr,
 }
 
-impl Gate {
+impl TcpConnections {
     pub fn new(limits: TcpLimits) -> Rc<Self> {
         let (open, in_hand, closing) = Default::default();
-        Rc::new(Gate { limits, open, in_hand, closing })
+        Rc::new(TcpConnections { limits, open, in_hand, closing })
     }
 
     fn enter(self: &Rc<Self>, source: IpAddr) -> Option<Seat> {
         let mut open = self.open.borrow_mut();
         let all: usize = open.values().sum();
         let own = open.get(&source).copied().unwrap_or(0);
-        if self.closing.get() || all >= self.limits.connections || own >= self.limits.connections_each {
+        if self.closing.get() || all >= self.limits.max_connections || own >= self.limits.max_per_source {
             return None;
         }
         open.insert(source, own + 1);
@@ -88,12 +88,12 @@
     }
 
     /// Questions taken and not yet answered.
-    pub fn in_hand(&self) -> usize {
+    pub fn pending_answers(&self) -> usize {
         self.in_hand.get()
     }
 
     /// Connections open now.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.borrow().values().sum()
     }
 }
@@ -112,7 +112,7 @@
 pub async fn serve_tcp<'e>(
     listener: TcpListener,
     handler: Rc<impl Handler + 'e>,
-    gate: Rc<Gate>,
+    gate: Rc<TcpConnections>,
     executor: Rc<LocalExecutor<'e>>,
 ) -> io::Result<()> {
     let listener = Async::<TcpListener>::try_from(listener)?;
@@ -148,9 +148,9 @@
     mut stream: Async<TcpStream>,
     source: SocketAddr,
     handler: &impl Handler,
-    gate: &Gate,
+    gate: &TcpConnections,
 ) -> io::Result<()> {
-    let idle = Duration::from_secs_f64(gate.limits.idle);
+    let idle = Duration::from_secs_f64(gate.limits.idle_timeout);
     let mut packet = Vec::new();
     while !gate.closing.get() {
         let until = Instant::now() + idle;
@@ -158,7 +158,7 @@
         within(until, stream.read_exact(&mut length)).await?;
         packet.resize(usize::from(u16::from_be_bytes(length)), 0);
         within(until, stream.read_exact(&mut packet)).await?;
-        let Some(answer) = handler.answer(&packet, source, Via::Tcp) else { return Ok(()) };
+        let Some(answer) = handler.answer(&packet, source, Transport::Tcp) else { return Ok(()) };
         let mut framed = Vec::with_capacity(answer.len() + 2);
         framed.extend((answer.len() as u16).to_be_bytes());
         framed.extend(answer);
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -6,7 +6,7 @@
 use domain::rdata::{AllRecordData, Hinfo, Ns, Soa, Srv, A};
 use oatlever::round::{Address, Writer};
 use oatlever_askers::PrefixTrie;
-use oatlever_dns::{Desk, Front, Via};
+use oatlever_dns::{Backend, Front, Transport};
 use oatlever_handout::{Answer, Handout, Lives, Who};
 use oatlever_settings::Settings;
 use oatlever_tables::{Kind, News, Pull, Tables, View};
@@ -40,21 +40,28 @@
 
 struct Book(Tables, Handout);
 
-impl Desk for Book {
-    fn asks(&mut self, asker: u16, class: u16, _: f64) -> Option<View<'_>> {
+impl Backend for Book {
+    fn lookup(&mut self, asker: u16, class: u16, _: f64) -> Option<View<'_>> {
         self.0.held(asker, class)
     }
-    fn addresses(&mut self, asker: u16, class: u16, host: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        host: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer> {
         let view = self.0.held(asker, class)?;
         let none = Answer { servers: Vec::new(), lifetime: 1 };
         let who = Who { host, class, group: 1.0 };
         let mut chance = fastrand::Rng::with_seed(now.to_bits());
         Some(self.1.answer(&view, who, most, |_| None, now, || chance.f64()).unwrap_or(none))
     }
-    fn knows(&self, host: Ipv4Addr) -> bool {
+    fn is_listed(&self, host: Ipv4Addr) -> bool {
         host.octets()[..3] == [10, 0, 0]
     }
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.0.version()
     }
 }
@@ -92,14 +99,14 @@
         }
     }
 
-    fn send(&mut self, packet: &[u8], source: [u8; 4], via: Via) -> Option<Vec<u8>> {
+    fn send(&mut self, packet: &[u8], source: [u8; 4], transport: Transport) -> Option<Vec<u8>> {
         self.now += 0.2;
-        self.front.answer(&mut self.book, packet, SocketAddr::from((source, 4000)), via, self.now)
+        self.front.answer(&mut self.book, packet, SocketAddr::from((source, 4000)), transport, self.now)
     }
 
-    fn ask(&mut self, question: &Question, source: [u8; 4], via: Via) -> Message<Vec<u8>> {
+    fn ask(&mut self, question: &Question, source: [u8; 4], transport: Transport) -> Message<Vec<u8>> {
         let packet = question.packet();
-        Message::from_octets(self.send(&packet, source, via).expect("an answer")).unwrap()
+        Message::from_octets(self.send(&packet, source, transport).expect("an answer")).unwrap()
     }
 }
 
@@ -181,7 +188,7 @@
 #[test]
 fn services_carry_weights_ports_and_addresses() {
     let mut play = Play::new(5);
-    let answer = play.ask(&question("_search._tcp.shops.test", Rtype::SRV), RELAY, Via::Udp);
+    let answer = play.ask(&question("_search._tcp.shops.test", Rtype::SRV), RELAY, Transport::Udp);
     let header = answer.header();
     assert!(header.aa() && header.rd() && !header.ra() && !header.tc() && header.qr());
     assert_eq!((header.id(), header.rcode()), (77, Rcode::NOERROR));
@@ -206,7 +213,7 @@
     assert!(answer.answer().unwrap().flatten().all(|r| r.ttl().as_secs() == 1));
     // A name says the zone where the address does not.
     let south = question("_search._tcp.south.shops.test", Rtype::SRV);
-    let answer = play.ask(&south, STRANGER, Via::Udp);
+    let answer = play.ask(&south, STRANGER, Transport::Udp);
     assert!(services(&answer).iter().all(|(_, _, target)| target.starts_with("10-0-1-")));
 }
 
@@ -215,11 +222,11 @@
 fn answers_follow_the_tables() {
     let mut play = Play::new(3);
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
-    assert_eq!(services(&play.ask(&ask, RELAY, Via::Udp)).len(), 3);
+    assert_eq!(services(&play.ask(&ask, RELAY, Transport::Udp)).len(), 3);
     play.book.0.open(1.0, 2, News::default());
     play.book.0.weigh(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
     play.book.0.close();
-    let answer = play.ask(&ask, RELAY, Via::Udp);
+    let answer = play.ask(&ask, RELAY, Transport::Udp);
     assert_eq!(services(&answer).iter().map(|(_, port, _)| *port).collect::<Vec<_>>(), [7000, 7002]);
 }
 
@@ -228,12 +235,12 @@
     let mut play = Play::new(4);
     let name = "_SeArCh._tCp.sHoPs.TeSt";
     for _ in 0..2 {
-        let answer = play.ask(&question(name, Rtype::SRV), RELAY, Via::Udp);
+        let answer = play.ask(&question(name, Rtype::SRV), RELAY, Transport::Udp);
         let asked = answer.sole_question().unwrap();
         assert_eq!(asked.qname().to_string(), name);
         assert_eq!(services(&answer).len(), 4);
         assert!(answer.answer().unwrap().flatten().all(|r| r.owner().to_string() == name));
-        play.ask(&question("_search._tcp.shops.test", Rtype::SRV), RELAY, Via::Udp);
+        play.ask(&question("_search._tcp.shops.test", Rtype::SRV), RELAY, Transport::Udp);
     }
 }
 
@@ -244,7 +251,7 @@
     let mut count = BTreeMap::new();
     let rounds = 200;
     for _ in 0..rounds {
-        let drawn = addresses(&play.ask(&question("search.shops.test", Rtype::A), RELAY, Via::Udp));
+        let drawn = addresses(&play.ask(&question("search.shops.test", Rtype::A), RELAY, Transport::Udp));
         assert_eq!(drawn.len(), 4);
         *count.entry(drawn[0]).or_insert(0.0) += 1.0 / f64::from(rounds);
     }
@@ -258,21 +265,22 @@
 fn what_does_not_fit_is_cut_as_published() {
     let mut play = Play::new(120);
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
-    let udp = play.ask(&ask, RELAY, Via::Udp);
+    let udp = play.ask(&ask, RELAY, Transport::Udp);
     assert!(udp.header().tc() && services(&udp).is_empty() && udp.opt().is_some());
-    let tcp = play.ask(&ask, RELAY, Via::Tcp);
+    let tcp = play.ask(&ask, RELAY, Transport::Tcp);
     assert!(!tcp.header().tc());
     assert_eq!((services(&tcp).len(), all_read(&tcp)), (120, 241));
     // Addresses that do not fit are left out without a word (RFC 2181, section 9).
     let mut play = Play::new(22);
-    let udp = play.ask(&ask, RELAY, Via::Udp);
+    let udp = play.ask(&ask, RELAY, Transport::Udp);
     assert!(!udp.header().tc() && udp.as_slice().len() <= 1232);
     assert_eq!((services(&udp).len(), all_read(&udp)), (22, 23));
     // Without EDNS no answer is longer than 512 bytes and none has options.
     let plain = Question { edns: None, ..ask };
-    let udp = play.ask(&plain, RELAY, Via::Udp);
+    let udp = play.ask(&plain, RELAY, Transport::Udp);
     assert!(udp.header().tc() && udp.as_slice().len() <= 512 && udp.opt().is_none());
-    let few = play.ask(&Question { edns: None, ..question("search.shops.test", Rtype::A) }, RELAY, Via::Udp);
+    let few =
+        play.ask(&Question { edns: None, ..question("search.shops.test", Rtype::A) }, RELAY, Transport::Udp);
     assert_eq!(addresses(&few).len(), 4);
 }
 
@@ -293,7 +301,7 @@
         ("010-0-0-1.node.shops.test", Rtype::A, Rcode::NXDOMAIN),
     ];
     for (name, kind, code) in cases {
-        let answer = play.ask(&question(name, kind), RELAY, Via::Udp);
+        let answer = play.ask(&question(name, kind), RELAY, Transport::Udp);
         assert_eq!(answer.header().rcode(), code, "{name} {kind}");
         assert_eq!(answer.header_counts().ancount(), 0, "{name} {kind}");
         let soa = answer.authority().unwrap().limit_to::<Soa<_>>().flatten().next().unwrap();
@@ -301,16 +309,16 @@
         all_read(&answer);
     }
     for name in ["shops.example", "test", ".", "xshops.test"] {
-        let answer = play.ask(&question(name, Rtype::A), RELAY, Via::Udp);
+        let answer = play.ask(&question(name, Rtype::A), RELAY, Transport::Udp);
         assert_eq!((answer.header().rcode(), answer.header().aa()), (Rcode::REFUSED, false), "{name}");
     }
-    let answer = play.ask(&question("10-0-0-1.node.shops.test", Rtype::A), STRANGER, Via::Udp);
+    let answer = play.ask(&question("10-0-0-1.node.shops.test", Rtype::A), STRANGER, Transport::Udp);
     assert_eq!(addresses(&answer), [Ipv4Addr::new(10, 0, 0, 1)]);
-    let answer = play.ask(&question("shops.test", Rtype::NS), STRANGER, Via::Udp);
+    let answer = play.ask(&question("shops.test", Rtype::NS), STRANGER, Transport::Udp);
     let ns = answer.answer().unwrap().limit_to::<Ns<_>>().flatten().next().unwrap();
     assert_eq!(ns.data().nsdname().to_string(), "ns.shops.test");
     // RFC 8482: ANY gets one small record.
-    let answer = play.ask(&question("_search._tcp.shops.test", Rtype::ANY), RELAY, Via::Udp);
+    let answer = play.ask(&question("_search._tcp.shops.test", Rtype::ANY), RELAY, Transport::Udp);
     assert_eq!(answer.answer().unwrap().limit_to::<Hinfo<_>>().flatten().count(), 1);
     assert_eq!(answer.header_counts().ancount(), 1);
 }
@@ -322,9 +330,9 @@
     let mut play = Play::new(3);
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
     let code = |answer: Message<Vec<u8>>| (answer.header().rcode(), answer.header_counts().nscount());
-    assert_eq!(code(play.ask(&ask, [127, 0, 9, 1], Via::Udp)), (Rcode::SERVFAIL, 0));
-    assert_eq!(code(play.ask(&ask, [127, 0, 8, 1], Via::Udp)), (Rcode::NOERROR, 1));
-    assert_eq!(code(play.ask(&ask, STRANGER, Via::Udp)), (Rcode::REFUSED, 0));
+    assert_eq!(code(play.ask(&ask, [127, 0, 9, 1], Transport::Udp)), (Rcode::SERVFAIL, 0));
+    assert_eq!(code(play.ask(&ask, [127, 0, 8, 1], Transport::Udp)), (Rcode::NOERROR, 1));
+    assert_eq!(code(play.ask(&ask, STRANGER, Transport::Udp)), (Rcode::REFUSED, 0));
 }
 
 #[test]
@@ -332,15 +340,15 @@
     let mut play = Play::new(3);
     // Family 1, 24 bits, scope 0, 127.0.1.
     let ask = question("_search._tcp.shops.test", Rtype::SRV).option(8, &[0, 1, 24, 0, 127, 0, 1]);
-    let trusted = play.ask(&ask, [127, 0, 7, 1], Via::Udp);
+    let trusted = play.ask(&ask, [127, 0, 7, 1], Transport::Udp);
     assert_eq!(services(&trusted).len(), 3);
     let told = option(&trusted, 8).unwrap();
     assert_eq!((told[2], told[3] <= 24 && told[3] > 8, &told[4..]), (24, true, &[127, 0, 1][..]));
-    let stranger = play.ask(&ask, STRANGER, Via::Udp);
+    let stranger = play.ask(&ask, STRANGER, Transport::Udp);
     assert_eq!(stranger.header().rcode(), Rcode::REFUSED);
     // An asker of its own keeps its table whatever it states, and the answer holds for everybody: scope 0.
     let other = question("_search._tcp.shops.test", Rtype::SRV).option(8, &[0, 1, 24, 0, 127, 0, 9]);
-    let answer = play.ask(&other, RELAY, Via::Udp);
+    let answer = play.ask(&other, RELAY, Transport::Udp);
     assert_eq!((services(&answer).len(), option(&answer, 8).unwrap()[3]), (3, 0));
 }
 
@@ -348,7 +356,7 @@
 fn cookies_prove_a_source_and_free_it_of_the_limit() {
     let mut play = Play::new(3);
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
-    let first = play.ask(&ask.clone().option(10, &[7; 8]), RELAY, Via::Udp);
+    let first = play.ask(&ask.clone().option(10, &[7; 8]), RELAY, Transport::Udp);
     let whole = option(&first, 10).unwrap();
     assert_eq!((whole.len(), &whole[..8]), (24, &[7; 8][..]));
     // Far too often, without proof: the burst, then one in two truncated, the others without an answer.
@@ -356,7 +364,7 @@
     let source = SocketAddr::from((RELAY, 4000));
     let (mut whole_answers, mut short, mut none) = (0, 0, 0i32);
     for _ in 0..100 {
-        match play.front.answer(&mut play.book, &packet, source, Via::Udp, play.now) {
+        match play.front.answer(&mut play.book, &packet, source, Transport::Udp, play.now) {
             None => none += 1,
             Some(bytes) if Message::from_octets(&bytes).unwrap().header().tc() => short += 1,
             Some(_) => whole_answers += 1,
@@ -366,14 +374,15 @@
     // With proof, over TCP, or from somewhere else: answered all the same.
     let proven = ask.clone().option(10, &whole);
     for _ in 0..50 {
-        let bytes = play.front.answer(&mut play.book, &proven.packet(), source, Via::Udp, play.now).unwrap();
+        let bytes =
+            play.front.answer(&mut play.book, &proven.packet(), source, Transport::Udp, play.now).unwrap();
         assert_eq!(services(&Message::from_octets(bytes).unwrap()).len(), 3);
     }
-    assert!(play.front.answer(&mut play.book, &packet, source, Via::Tcp, play.now).is_some());
+    assert!(play.front.answer(&mut play.book, &packet, source, Transport::Tcp, play.now).is_some());
     let other = SocketAddr::from(([127, 0, 1, 6], 4000));
-    assert!(play.front.answer(&mut play.book, &packet, other, Via::Udp, play.now).is_some());
+    assert!(play.front.answer(&mut play.book, &packet, other, Transport::Udp, play.now).is_some());
     // A cookie of a wrong length is a malformed question.
-    let odd = play.ask(&ask.option(10, &[1; 9]), [127, 0, 1, 9], Via::Udp);
+    let odd = play.ask(&ask.option(10, &[1; 9]), [127, 0, 1, 9], Transport::Udp);
     assert_eq!(odd.header().rcode(), Rcode::FORMERR);
 }
 
@@ -382,7 +391,8 @@
     let mut play = Play::new(3);
     let good = question("_search._tcp.shops.test", Rtype::SRV).packet();
     let code = |play: &mut Play, packet: &[u8]| {
-        play.send(packet, RELAY, Via::Udp).map(|bytes| Message::from_octets(bytes).unwrap().header().rcode())
+        play.send(packet, RELAY, Transport::Udp)
+            .map(|bytes| Message::from_octets(bytes).unwrap().header().rcode())
     };
     let mut notify = good.clone();
     notify[2] = Opcode::NOTIFY.to_int() << 3;
@@ -400,7 +410,7 @@
     let mut later = good.clone();
     let version = later.len() - 5;
     later[version] = 1;
-    let answer = Message::from_octets(play.send(&later, RELAY, Via::Udp).unwrap()).unwrap();
+    let answer = Message::from_octets(play.send(&later, RELAY, Transport::Udp).unwrap()).unwrap();
     assert_eq!(answer.opt_rcode(), OptRcode::BADVERS);
 }
 
@@ -414,7 +424,7 @@
             spoiled[place] = value;
         }
         [bytes, spoiled].iter().all(|packet| {
-            play.send(packet, RELAY, Via::Tcp).is_none_or(|answer| {
+            play.send(packet, RELAY, Transport::Tcp).is_none_or(|answer| {
                 let message = Message::from_octets(answer).unwrap();
                 all_read(&message);
                 message.header().qr() && message.header().id().to_be_bytes() == packet[..2]
@@ -429,17 +439,17 @@
     let mut play = Play::new(3);
     let mut looped = vec![0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0];
     looped.extend([0xc0, 12, 0, 33, 0, 1]);
-    let answer = play.send(&looped, RELAY, Via::Udp).unwrap();
+    let answer = play.send(&looped, RELAY, Transport::Udp).unwrap();
     assert_eq!(Message::from_octets(answer).unwrap().header().rcode(), Rcode::FORMERR);
     let label = "a".repeat(63);
     let longest = format!("{label}.{label}.{label}.{}.shops.test", "b".repeat(50));
-    let answer = play.ask(&question(&longest, Rtype::A), RELAY, Via::Udp);
+    let answer = play.ask(&question(&longest, Rtype::A), RELAY, Transport::Udp);
     assert_eq!(answer.header().rcode(), Rcode::NXDOMAIN);
     all_read(&answer);
     let mut g = Gen::new(40);
     for _ in 0..200 {
         let mut packet = vec![0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0];
         packet.extend((0..40).map(|_| *g.choose(&[0xc0u8, 12, 14, 16, 0, 63, 33, 1]).unwrap()));
-        play.send(&packet, RELAY, Via::Tcp);
+        play.send(&packet, RELAY, Transport::Tcp);
     }
 }
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -9,7 +9,7 @@
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, HealthAnswer, List, ListNews, Round, Stream};
 use oatlever_askers::{PrefixTrie, Presence};
-use oatlever_dns::Desk;
+use oatlever_dns::Backend;
 use oatlever_handout::Answer;
 use oatlever_reports::{Counters, Owner, Sums, Target, Text};
 use oatlever_roster::{Book, Document, Moment, Taken};
@@ -396,8 +396,8 @@
     }
 }
 
-impl Desk for Core {
-    fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
+impl Backend for Core {
+    fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
         // Who asks for the first time is bound before it is answered.
         if self.sign(asker, now) {
             self.step(now);
@@ -406,19 +406,26 @@
         self.tables.held(asker, class)
     }
 
-    fn addresses(&mut self, asker: u16, class: u16, host: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
-        self.asks(asker, class, now)?;
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        host: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer> {
+        self.lookup(asker, class, now)?;
         let Core { handing, tables, book, settings, .. } = self;
         handing.answer(tables, book, (asker, class, host), most, settings, now)
     }
 
-    fn knows(&self, host: Ipv4Addr) -> bool {
+    fn is_listed(&self, host: Ipv4Addr) -> bool {
         let host = host.octets();
         let ports = Address { host, port: 0 }..=Address { host, port: u16::MAX };
         self.book.members().range(ports.clone()).next().is_some() || self.tables.names(ports)
     }
 
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.tables.version()
     }
 }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -59,15 +59,20 @@
     measure(r, "channel_waiting_lines", "Lines not yet in use everywhere", core.tables.pull.waiting());
     measure(r, "channel_waiting_lines_most", "The most that ever waited", core.tables.pull.most);
     count(r, "channel_messages", "Changes ordered, counted at each asker", core.tables.pull.ordered);
-    count(r, "dns_questions", "Questions that came", front.counts.questions);
-    counts(r, ("dns_answers", "Answers, by response code", "code"), &front.counts.answers);
-    count(r, "dns_dropped", "Packets that are no question", front.counts.dropped);
-    count(r, "dns_limited", "Questions over a source's limit, not answered", front.counts.limited);
-    count(r, "dns_shortened", "Questions over a source's limit, answered truncated", front.counts.shortened);
-    count(r, "dns_truncated", "Answers too large for UDP", front.counts.truncated);
-    count(r, "dns_proven", "Questions with a good cookie", front.counts.proven);
-    count(r, "dns_strangers", "Questions from no asker of the settings", front.counts.strangers);
-    measure(r, "dns_connections", "Open TCP connections", pilot.gate.open() as f64);
+    count(r, "dns_questions", "Questions that came", front.counters.queries);
+    counts(r, ("dns_answers", "Answers, by response code", "code"), &front.counters.answers);
+    count(r, "dns_dropped", "Packets that are no question", front.counters.dropped);
+    count(r, "dns_limited", "Questions over a source's limit, not answered", front.counters.rate_limited);
+    count(
+        r,
+        "dns_shortened",
+        "Questions over a source's limit, answered truncated",
+        front.counters.rate_limited_truncated,
+    );
+    count(r, "dns_truncated", "Answers too large for UDP", front.counters.truncated);
+    count(r, "dns_proven", "Questions with a good cookie", front.counters.cookie_verified);
+    count(r, "dns_strangers", "Questions from no asker of the settings", front.counters.unknown_clients);
+    measure(r, "dns_connections", "Open TCP connections", pilot.gate.open_count() as f64);
     if let Some(guarding) = &core.guarding {
         let guard = &guarding.guard;
         counts(r, ("guard_findings", "What the guard found wrong, by check", "check"), &guard.findings);
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use futures_lite::{future, StreamExt};
 use oatlever::round::Address;
-use oatlever_dns::{Front, Gate, Handler, TcpLimits, Via};
+use oatlever_dns::{Front, Handler, TcpConnections, TcpLimits, Transport};
 use oatlever_fetch as fetch;
 use oatlever_identity::{Files, Grant, Grants, Keys, Node, Peer, To};
 use oatlever_reports::{Target, Text};
@@ -33,7 +33,7 @@
 pub struct Pilot {
     pub core: RefCell<Core>,
     pub front: RefCell<Front>,
-    pub gate: Rc<Gate>,
+    pub gate: Rc<TcpConnections>,
     /// Something came in that a round should take up.
     news: Event,
     /// Tables may have changed.
@@ -61,11 +61,11 @@
 }
 
 impl Handler for Pilot {
-    fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>> {
+    fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>> {
         let mut core = self.core.borrow_mut();
         let now = core.now();
         let (rounds, mut front) = (core.counts.rounds, self.front.borrow_mut());
-        let answer = front.answer(&mut *core, packet, source, via, now);
+        let answer = front.answer(&mut *core, packet, source, transport, now);
         if core.counts.rounds != rounds {
             self.tell();
             self.changed.notify(usize::MAX);
@@ -310,10 +310,10 @@
     let front =
         Front::new(&settings, core.prefixes.clone(), seed).map_err(|e| format!("/dns/origin: {e}"))?;
     let limits = &settings.dns.limits;
-    let gate = Gate::new(TcpLimits {
-        connections: limits.connections,
-        connections_each: limits.connections_each,
-        idle: limits.idle,
+    let gate = TcpConnections::new(TcpLimits {
+        max_connections: limits.connections,
+        max_per_source: limits.connections_each,
+        idle_timeout: limits.idle,
     });
     let pilot = Rc::new(Pilot {
         core: RefCell::new(core),
@@ -442,7 +442,7 @@
         let end = future::or(future::or(signal, input), broke).await;
         gate.close();
         let until = Instant::now() + Duration::from_secs_f64(LAST_ANSWERS);
-        while gate.in_hand() > 0 && Instant::now() < until {
+        while gate.pending_answers() > 0 && Instant::now() < until {
             Timer::after(Duration::from_millis(10)).await;
         }
         drop(tasks);
