--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -6,7 +6,7 @@
 use oatlever::round::Address;
 use oatlever_askers::PrefixTrie;
 use oatlever_dns::{serve_udp, Backend, Front, Handler, Transport};
-use oatlever_handout::{Answer, Handout, Lives, Who};
+use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
 use oatlever_tables::View;
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
 
 struct Book {
     fleet: Fleet,
-    handout: Handout,
+    handout: AddressSelector,
     chance: fastrand::Rng,
 }
 
@@ -45,7 +45,8 @@
         let chance = &mut self.chance;
         let host = Ipv4Addr::from(0x0a00_0000 + chance.u32(..ASKERS));
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
-        self.handout.answer(&view, Who { host, class, group: 100.0 }, most, zone, now, || chance.f64())
+        self.handout
+            .answer(&view, Client { host, class, group_rate: 100.0 }, most, zone, now, || chance.f64())
     }
     fn is_listed(&self, _: Ipv4Addr) -> bool {
         true
@@ -154,15 +155,17 @@
 }
 
 impl Kept {
-    fn handout(self) -> Handout {
-        let lives = Lives { long: 1, short: 1, overstay: 0.5 };
-        let mut handout = Handout::new(lives, 65_536, (1, 2), 0.0);
+    fn handout(self) -> AddressSelector {
+        let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
+        let mut handout = AddressSelector::new(lives, 65_536, (1, 2), 0.0);
         match self {
-            Kept::Nothing => return Handout::plain(lives),
+            Kept::Nothing => return AddressSelector::without_ledger(lives),
             Kept::Ledger => {}
-            Kept::Cold(count) => handout.spare((0..count).map(|n| (server(n), 20.0)).collect(), 0.0),
+            Kept::Cold(count) => {
+                handout.set_cold_budgets((0..count).map(|n| (server(n), 20.0)).collect(), 0.0)
+            }
         }
-        (0..ASKERS).for_each(|n| handout.hosts.count(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
+        (0..ASKERS).for_each(|n| handout.rates.add(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
         handout
     }
 }
--- a/benches/src/ledgers.rs
+++ b/benches/src/ledgers.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{memory, server};
 use oatlever::round::Address;
-use oatlever_handout::{Handout, Hosts, Ledger, Lives, Who};
+use oatlever_handout::{AddressSelector, Client, HeavyHitters, Ledger, Lifetimes};
 use oatlever_tables::{Index, View};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
@@ -88,7 +88,7 @@
         };
         let ours = measured(Ledger::new(MOST, (1, 2)), |ledger, n| {
             let (host, servers, now) = ask(n);
-            ledger.hand((host, 0), 1.0, servers.clone(), (now, HELD), now);
+            ledger.record_answer((host, 0), 1.0, servers.clone(), (now, HELD), now);
             servers.for_each(|server| _ = black_box(ledger.outstanding(&server, now)));
         });
         let plain = measured(Plain::default(), |plain, n| {
@@ -99,8 +99,9 @@
         row("an answer of four and its load", askers, ours, plain);
         let count =
             |n: u32| Ipv4Addr::from(0x0a00_0000 + fastrand::Rng::with_seed(u64::from(n)).u32(..askers));
-        let ours =
-            measured(Hosts::new(MOST), |hosts, n| hosts.count(count(n), 0, 1.0, f64::from(n) / 20_000.0));
+        let ours = measured(HeavyHitters::new(MOST), |hosts, n| {
+            hosts.add(count(n), 0, 1.0, f64::from(n) / 20_000.0)
+        });
         let plain =
             measured(HashMap::<Ipv4Addr, f64>::new(), |map, n| *map.entry(count(n)).or_default() += 1.0);
         row("a count of an asker's queries", askers, ours, plain);
@@ -116,23 +117,23 @@
     for servers in [24_u16, 300] {
         let index = Index::of((0..servers).map(|n| (server(n), 1.0 + f64::from(n % 5))));
         let view = View { table: 0, version: 1, index: &index, level: 1.0, tries: 0 };
-        let lives = Lives { long: 1, short: 1, overstay: 0.5 };
-        let took = |mut handout: Handout, cold: u16| {
-            handout.spare((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
+        let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
+        let took = |mut handout: AddressSelector, cold: u16| {
+            handout.set_cold_budgets((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
             let mut chance = fastrand::Rng::with_seed(1);
             let host = |n: u32| Ipv4Addr::from(0x0a00_0000 + n % 20_000);
-            (0..20_000).for_each(|n| handout.hosts.count(host(n), 0, 5.0, 100.0));
+            (0..20_000).for_each(|n| handout.rates.add(host(n), 0, 5.0, 100.0));
             measured(handout, |handout, n| {
-                let who = Who { host: host(n * 7919), class: 0, group: 100.0 };
+                let who = Client { host: host(n * 7919), class: 0, group_rate: 100.0 };
                 let zone = |server: &Address| Some(u16::from(server.host[3] % 3));
                 let now = 100.0 + f64::from(n) / 20_000.0;
                 black_box(handout.answer(&view, who, 4, zone, now, || chance.f64()));
             })
             .0
         };
-        let kept = || Handout::new(lives, MOST, (1, 2), 0.0);
+        let kept = || AddressSelector::new(lives, MOST, (1, 2), 0.0);
         let (plain, ledger, cold) =
-            (took(Handout::plain(lives), 0), took(kept(), 0), took(kept(), servers / 10));
+            (took(AddressSelector::without_ledger(lives), 0), took(kept(), 0), took(kept(), servers / 10));
         println!("{servers:39} {plain:17.0} {ledger:17.0} {cold:19.0}");
     }
 }
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -7,7 +7,7 @@
 use oatlever::round::{Address, Writer};
 use oatlever_askers::PrefixTrie;
 use oatlever_dns::{Backend, Front, Transport};
-use oatlever_handout::{Answer, Handout, Lives, Who};
+use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
 use oatlever_tables::{Kind, News, Pull, Tables, View};
 use quickcheck::{quickcheck, Gen};
@@ -36,9 +36,9 @@
     oatlever_settings::read(text).unwrap()
 }
 
-const LIVES: Lives = Lives { long: 1, short: 1, overstay: 0.5 };
+const LIVES: Lifetimes = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
 
-struct Book(Tables, Handout);
+struct Book(Tables, AddressSelector);
 
 impl Backend for Book {
     fn lookup(&mut self, asker: u16, class: u16, _: f64) -> Option<View<'_>> {
@@ -54,7 +54,7 @@
     ) -> Option<Answer> {
         let view = self.0.held(asker, class)?;
         let none = Answer { servers: Vec::new(), lifetime: 1 };
-        let who = Who { host, class, group: 1.0 };
+        let who = Client { host, class, group_rate: 1.0 };
         let mut chance = fastrand::Rng::with_seed(now.to_bits());
         Some(self.1.answer(&view, who, most, |_| None, now, || chance.f64()).unwrap_or(none))
     }
@@ -94,7 +94,7 @@
         tables.close();
         Play {
             front: Front::new(&settings, Rc::new(prefixes), 5).unwrap(),
-            book: Book(tables, Handout::plain(LIVES)),
+            book: Book(tables, AddressSelector::without_ledger(LIVES)),
             now: 0.0,
         }
     }
--- a/handout/src/choice.rs
+++ b/handout/src/choice.rs
@@ -1,6 +1,6 @@
 //! The addresses of an answer.
 
-use crate::hosts::Hosts;
+use crate::hosts::HeavyHitters;
 use crate::ledger::Ledger;
 use oatlever::round::Address;
 use oatlever_tables::{Index, Line, Spread, View};
@@ -15,19 +15,19 @@
 
 /// Who asks for what.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Who {
+pub struct Client {
     pub host: Ipv4Addr,
     pub class: u16,
     /// Queries a second of all that it is counted among.
-    pub group: f64,
+    pub group_rate: f64,
 }
 
 /// How long answers live, s.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lives {
-    pub long: u32,
+pub struct Lifetimes {
+    pub normal: u32,
     /// Where a cold server is near.
-    pub short: u32,
+    pub near_cold: u32,
     /// Answers may be in use so much longer.
     pub overstay: f64,
 }
@@ -41,47 +41,47 @@
 
 /// What answers did, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct Counters {
     /// Times a cold server was passed over.
-    pub passed_over: u64,
+    pub cold_skipped: u64,
     /// Answers of nothing but cold servers without room.
-    pub nothing_better: u64,
+    pub cold_only: u64,
 }
 
-pub struct Handout {
+pub struct AddressSelector {
     pub ledger: Ledger,
-    pub hosts: Hosts,
+    pub rates: HeavyHitters,
     spreads: HashMap<(u16, u16), Spread>,
     /// Queries a second that each cold server may be brought by answers.
     cold: BTreeMap<Address, f64>,
     /// By table: whether its lines, as of a version, name a cold server; forgotten when the cold ones change.
     near: HashMap<u16, (u64, bool)>,
-    lives: Lives,
+    lives: Lifetimes,
     /// s; until then somebody else's answers may be out there.
     unknown_until: f64,
     /// Nothing is counted, and no cold server passed over.
     plain: bool,
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
-impl Handout {
+impl AddressSelector {
     /// Remembers so many askers; the key is the ledger's. What others handed out before `start` is assumed to be in
     /// use as long as anything could be: cold servers get nothing until then.
-    pub fn new(lives: Lives, most: usize, key: (u64, u64), start: f64) -> Self {
-        let (spreads, cold, near, counts) = Default::default();
-        let unknown_until = start + f64::from(lives.long) + lives.overstay;
-        let (ledger, hosts) = (Ledger::new(most, key), Hosts::new(most));
-        Handout { ledger, hosts, spreads, cold, near, lives, unknown_until, plain: false, counts }
+    pub fn new(lives: Lifetimes, most: usize, key: (u64, u64), start: f64) -> Self {
+        let (spreads, cold, near, counters) = Default::default();
+        let unknown_until = start + f64::from(lives.normal) + lives.overstay;
+        let (ledger, rates) = (Ledger::new(most, key), HeavyHitters::new(most));
+        AddressSelector { ledger, rates, spreads, cold, near, lives, unknown_until, plain: false, counters }
     }
 
     /// Without a ledger: draws by weight, and nothing else.
-    pub fn plain(lives: Lives) -> Self {
-        Handout { plain: true, ..Handout::new(lives, 1, (0, 0), 0.0) }
+    pub fn without_ledger(lives: Lifetimes) -> Self {
+        AddressSelector { plain: true, ..AddressSelector::new(lives, 1, (0, 0), 0.0) }
     }
 
     /// So many queries of a class in so many seconds came to a server from an address, all since a time. It may go
     /// by an answer that has run out.
-    pub fn met(
+    pub fn record_queries(
         &mut self,
         server: Address,
         host: Ipv4Addr,
@@ -93,13 +93,13 @@
         if self.plain || queries <= 0.0 || span <= 0.0 {
             return;
         }
-        self.hosts.count(host, class, queries, now);
+        self.rates.add(host, class, queries, now);
         let worth = queries / span;
-        self.ledger.met((host, class), &server, worth, since, now);
+        self.ledger.record_use((host, class), &server, worth, since, now);
     }
 
     /// The cold servers of now, and what the tables give each of those who ask here, queries a second.
-    pub fn spare(&mut self, cold: BTreeMap<Address, f64>, now: f64) {
+    pub fn set_cold_budgets(&mut self, cold: BTreeMap<Address, f64>, now: f64) {
         self.cold = cold;
         self.near.clear();
         self.ledger.expire(now);
@@ -111,22 +111,23 @@
     }
 
     /// Queries a second that an asker brings at most, as far as anybody knows.
-    fn worth(&self, who: Who, now: f64) -> f64 {
-        if let Some(own) = self.hosts.own(who.host, who.class, now) {
+    fn worth(&self, who: Client, now: f64) -> f64 {
+        if let Some(own) = self.rates.estimate(who.host, who.class, now) {
             return own;
         }
         // Before anybody is known, one may be all of them.
-        let unsure = if self.hosts.known() == 0 { who.group } else { NEWCOMER * self.hosts.mean(now) };
-        self.hosts.lightest(now).unwrap_or(0.0).max(unsure)
+        let unsure =
+            if self.rates.tracked() == 0 { who.group_rate } else { NEWCOMER * self.rates.mean_rate(now) };
+        self.rates.untracked_bound(now).unwrap_or(0.0).max(unsure)
     }
 
     /// What a cold server has left for an asker of this worth; none for a warm one.
-    fn left(&mut self, server: &Address, who: Who, worth: f64, now: f64) -> Option<f64> {
+    fn left(&mut self, server: &Address, who: Client, worth: f64, now: f64) -> Option<f64> {
         let budget = *self.cold.get(server)?;
         if now < self.unknown_until {
             return Some(f64::NEG_INFINITY);
         }
-        let own = self.ledger.own(who.host, who.class, server, now);
+        let own = self.ledger.leased_to(who.host, who.class, server, now);
         Some(budget - (self.ledger.outstanding(server, now) - own).max(0.0) - worth)
     }
 
@@ -135,7 +136,7 @@
     pub fn answer(
         &mut self,
         view: &View,
-        who: Who,
+        who: Client,
         most: usize,
         zone_of: impl Fn(&Address) -> Option<u16>,
         now: f64,
@@ -149,7 +150,7 @@
         let mut drawn = view.index.draw(most, part, &mut chance);
         if self.plain {
             let servers = drawn.iter().map(|line| line.server).collect();
-            return Some(Answer { servers, lifetime: self.lives.long });
+            return Some(Answer { servers, lifetime: self.lives.normal });
         }
         let worth = self.worth(who, now);
         let is_near = self.is_near(view);
@@ -157,10 +158,10 @@
             self.pass_over(&mut drawn, view.index, who, worth, now, &mut chance);
         }
         self.reach_two_zones(&mut drawn, view.index, zone_of, &mut chance);
-        let lifetime = if is_near { self.lives.short } else { self.lives.long };
+        let lifetime = if is_near { self.lives.near_cold } else { self.lives.normal };
         let ends = (now + f64::from(lifetime), self.lives.overstay);
         let servers: Vec<Address> = drawn.iter().map(|line| line.server).collect();
-        self.ledger.hand((who.host, who.class), worth, servers.iter().copied(), ends, now);
+        self.ledger.record_answer((who.host, who.class), worth, servers.iter().copied(), ends, now);
         Some(Answer { servers, lifetime })
     }
 
@@ -182,7 +183,7 @@
         &mut self,
         drawn: &mut Vec<Line>,
         index: &Index,
-        who: Who,
+        who: Client,
         worth: f64,
         now: f64,
         chance: &mut impl FnMut() -> f64,
@@ -190,7 +191,7 @@
         let most = drawn.len();
         let before = drawn.clone();
         drawn.retain(|line| self.left(&line.server, who, worth, now).is_none_or(|left| left >= 0.0));
-        self.counts.passed_over += (most - drawn.len()) as u64;
+        self.counters.cold_skipped += (most - drawn.len()) as u64;
         while drawn.len() < most {
             // Those that were drawn before had no room, or are there already.
             let mut fits = |line: &Line, drawn: &[Line]| {
@@ -214,7 +215,7 @@
         }
         if drawn.is_empty() {
             // Nobody is to be without an address: the one with the most room.
-            self.counts.nothing_better += 1;
+            self.counters.cold_only += 1;
             let mut best: Option<(f64, Line)> = None;
             for line in index.lines() {
                 let held = self.ledger.outstanding(&line.server, now);
--- a/handout/src/holds.rs
+++ b/handout/src/holds.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Holds {
+pub struct ExpiryWheel {
     levels: Vec<Level>,
     /// s; nothing runs out before.
     next: f64,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Holds {
+impl ExpiryWheel {
     /// Holds of so many queries a second until a time.
     pub fn add(&mut self, weight: f64, until: f64, now: f64) -> Slot {
         let slot = Slot::of(until, now);
@@ -62,7 +62,7 @@
     }
 
     /// Takes holds back that were added; nothing where they have run out.
-    pub fn take(&mut self, weight: f64, slot: Slot, now: f64) {
+    pub fn remove(&mut self, weight: f64, slot: Slot, now: f64) {
         if slot.end() > now {
             let sum = self.at(slot, now);
             *sum = (*sum - weight).max(0.0);
@@ -111,7 +111,7 @@
     }
 
     /// When the last holder has let go, s; none where nothing is held.
-    pub fn until(&mut self, now: f64) -> Option<f64> {
+    pub fn last_expiry(&mut self, now: f64) -> Option<f64> {
         self.expire(now);
         let last = |(place, level): (usize, &Level)| {
             let last = level.sums.iter().rposition(|held| *held > 0.0)?;
--- a/handout/src/hosts.rs
+++ b/handout/src/hosts.rs
@@ -18,7 +18,7 @@
 type Key = (Ipv4Addr, u16);
 
 #[derive(Clone, Debug)]
-pub struct Hosts {
+pub struct HeavyHitters {
     most: usize,
     /// Counts as of `since`: later ones weigh more, so that none has to fade.
     counts: HashMap<Key, f64>,
@@ -29,11 +29,11 @@
     now: f64,
 }
 
-impl Hosts {
+impl HeavyHitters {
     /// With so many counters.
     pub fn new(most: usize) -> Self {
         let (counts, order) = Default::default();
-        Hosts { most: most.max(1), counts, order, sum: 0.0, since: 0.0, now: 0.0 }
+        HeavyHitters { most: most.max(1), counts, order, sum: 0.0, since: 0.0, now: 0.0 }
     }
 
     fn scale(&self, now: f64) -> f64 {
@@ -41,7 +41,7 @@
     }
 
     /// So many queries of a class from an address were counted by now.
-    pub fn count(&mut self, host: Ipv4Addr, class: u16, queries: f64, now: f64) {
+    pub fn add(&mut self, host: Ipv4Addr, class: u16, queries: f64, now: f64) {
         if !(queries > 0.0 && queries.is_finite()) {
             return;
         }
@@ -85,23 +85,23 @@
     }
 
     /// Queries a second of an address with a counter of its own, at most.
-    pub fn own(&self, host: Ipv4Addr, class: u16, now: f64) -> Option<f64> {
+    pub fn estimate(&self, host: Ipv4Addr, class: u16, now: f64) -> Option<f64> {
         self.counts.get(&(host, class)).map(|count| self.rate(*count, now))
     }
 
     /// Queries a second of an address without one, at most; none where there are counters for everybody.
-    pub fn lightest(&self, now: f64) -> Option<f64> {
+    pub fn untracked_bound(&self, now: f64) -> Option<f64> {
         let first = self.order.first().filter(|_| self.counts.len() == self.most);
         first.map(|(count, _)| self.rate(f64::from_bits(*count), now))
     }
 
     /// Addresses with a counter.
-    pub fn known(&self) -> usize {
+    pub fn tracked(&self) -> usize {
         self.counts.len()
     }
 
     /// Queries a second of an address with a counter, on average.
-    pub fn mean(&self, now: f64) -> f64 {
+    pub fn mean_rate(&self, now: f64) -> f64 {
         self.rate(self.sum, now) / self.counts.len().max(1) as f64
     }
 }
--- a/handout/src/ledger.rs
+++ b/handout/src/ledger.rs
@@ -4,7 +4,7 @@
 //! in sets of a few places, the least recent giving way; a forgotten asker that asks again counts twice until its
 //! older answer has run out: too high, never too low.
 
-use crate::holds::{Holds, Slot};
+use crate::holds::{ExpiryWheel, Slot};
 use arrayvec::ArrayVec;
 use oatlever::round::Address;
 use siphasher::sip::SipHasher13;
@@ -47,21 +47,21 @@
 
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    servers: HashMap<Address, Holds>,
+    servers: HashMap<Address, ExpiryWheel>,
     sets: Vec<Vec<Entry>>,
     key: (u64, u64),
     /// Askers that were forgotten while their answers lived.
-    pub forgotten: u64,
+    pub evicted: u64,
     /// Times that an asker used a server past its hold, and by how much at most, s.
     pub overstays: u64,
-    pub latest: f64,
+    pub max_overstay: f64,
 }
 
 impl Entry {
     /// It may use a server until a time, and should until another; a hold that it has there already is moved.
     fn hold(
         &mut self,
-        servers: &mut HashMap<Address, Holds>,
+        servers: &mut HashMap<Address, ExpiryWheel>,
         server: Address,
         weight: f64,
         (until, due): (f64, f64),
@@ -76,7 +76,7 @@
         }
         let holds = servers.entry(server).or_default();
         if let Some(old) = old {
-            holds.take(f64::from(old.weight), old.slot, now);
+            holds.remove(f64::from(old.weight), old.slot, now);
             // What it was thought to bring before, it may still.
             (most, last) = (old.weight.max(most), old.slot.end().max(until));
         }
@@ -99,7 +99,7 @@
     /// Remembers so many askers and classes. The key keeps outsiders from choosing whom they push out.
     pub fn new(most: usize, key: (u64, u64)) -> Self {
         let sets = vec![Vec::new(); most.div_ceil(WAYS).max(1)];
-        Ledger { servers: HashMap::new(), sets, key, forgotten: 0, overstays: 0, latest: 0.0 }
+        Ledger { servers: HashMap::new(), sets, key, evicted: 0, overstays: 0, max_overstay: 0.0 }
     }
 
     fn place(&self, host: Ipv4Addr, class: u16) -> usize {
@@ -111,7 +111,7 @@
 
     /// An asker that brings so many queries a second of a class may use these servers until an answer's lifetime has
     /// ended, and past that as long as others or it itself were seen to.
-    pub fn hand(
+    pub fn record_answer(
         &mut self,
         (host, class): (Ipv4Addr, u16),
         weight: f64,
@@ -129,7 +129,7 @@
                 return set.len() - 1;
             }
             let oldest = (0..WAYS).min_by(|a, b| set[*a].at.total_cmp(&set[*b].at)).unwrap_or(0);
-            self.forgotten += u64::from(set[oldest].holds.iter().any(|hold| hold.slot.end() > now));
+            self.evicted += u64::from(set[oldest].holds.iter().any(|hold| hold.slot.end() > now));
             set[oldest] = fresh();
             oldest
         });
@@ -143,7 +143,7 @@
 
     /// An asker brought a server so many queries a second since a time. If its hold had run out before, it keeps
     /// answers longer than they live; what it did once it may do for as long again.
-    pub fn met(
+    pub fn record_use(
         &mut self,
         (host, class): (Ipv4Addr, u16),
         server: &Address,
@@ -158,7 +158,7 @@
         let Some(due) = held.map(|hold| hold.due).filter(|due| *due < since) else { return };
         entry.late = entry.late.max(now - due).min(LATEST);
         self.overstays += 1;
-        self.latest = self.latest.max(entry.late);
+        self.max_overstay = self.max_overstay.max(entry.late);
         let until = now + entry.late;
         entry.hold(&mut self.servers, *server, weight, (until, due), now);
     }
@@ -169,7 +169,7 @@
     }
 
     /// How long an asker was seen to use servers past its holds, s.
-    pub fn late(&self, host: Ipv4Addr, class: u16) -> f64 {
+    pub fn overstay(&self, host: Ipv4Addr, class: u16) -> f64 {
         self.entry(host, class).map_or(0.0, |entry| entry.late)
     }
 
@@ -179,29 +179,29 @@
     }
 
     /// What of that an asker holds already.
-    pub fn own(&self, host: Ipv4Addr, class: u16, server: &Address, now: f64) -> f64 {
+    pub fn leased_to(&self, host: Ipv4Addr, class: u16, server: &Address, now: f64) -> f64 {
         let hold =
             self.entry(host, class).and_then(|entry| entry.holds.iter().find(|hold| hold.server == *server));
         hold.filter(|hold| hold.slot.end() > now).map_or(0.0, |hold| f64::from(hold.weight))
     }
 
     /// When the last holder of a server has let go, s.
-    pub fn until(&mut self, server: &Address, now: f64) -> Option<f64> {
-        self.servers.get_mut(server)?.until(now)
+    pub fn last_expiry(&mut self, server: &Address, now: f64) -> Option<f64> {
+        self.servers.get_mut(server)?.last_expiry(now)
     }
 
     /// Forgets servers that nobody can hold any more.
     pub fn expire(&mut self, now: f64) {
-        self.servers.retain(|_, holds| holds.until(now).is_some());
+        self.servers.retain(|_, holds| holds.last_expiry(now).is_some());
     }
 
     /// Servers with holders.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
     /// Askers and classes remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.sets.iter().map(Vec::len).sum()
     }
 }
--- a/handout/src/lib.rs
+++ b/handout/src/lib.rs
@@ -9,7 +9,7 @@
 mod hosts;
 mod ledger;
 
-pub use choice::{Answer, Counts, Handout, Lives, Who};
-pub use holds::Holds;
-pub use hosts::Hosts;
+pub use choice::{AddressSelector, Answer, Client, Counters, Lifetimes};
+pub use holds::ExpiryWheel;
+pub use hosts::HeavyHitters;
 pub use ledger::Ledger;
--- a/handout/tests/handout.rs
+++ b/handout/tests/handout.rs
@@ -1,7 +1,7 @@
 //! The ledger against an exact one, and what answers keep by it.
 
 use oatlever::round::Address;
-use oatlever_handout::{Answer, Handout, Holds, Hosts, Ledger, Lives, Who};
+use oatlever_handout::{AddressSelector, Answer, Client, ExpiryWheel, HeavyHitters, Ledger, Lifetimes};
 use oatlever_tables::{Index, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -23,7 +23,7 @@
 fn holds_run_out_on_time() {
     let mut chance = fastrand::Rng::with_seed(1);
     for _ in 0..50 {
-        let (mut holds, mut plain, mut now) = (Holds::default(), Vec::new(), 1000.0 * chance.f64());
+        let (mut holds, mut plain, mut now) = (ExpiryWheel::default(), Vec::new(), 1000.0 * chance.f64());
         for _ in 0..300 {
             now += chance.f64();
             let lasts = 0.01 * 60_000_f64.powf(chance.f64());
@@ -31,7 +31,7 @@
             plain.push((now, now + lasts, slot));
             if chance.u8(..4) == 0 {
                 let (_, _, slot) = plain.swap_remove(chance.usize(..plain.len()));
-                holds.take(1.0, slot, now);
+                holds.remove(1.0, slot, now);
             }
             let least = plain.iter().filter(|(_, until, _)| *until > now).count() as f64;
             let longest = |(from, until, _): &&(f64, f64, _)| until + ((until - from) / 7.0).max(0.125) > now;
@@ -39,20 +39,20 @@
             let found = holds.sum(now);
             assert!(found >= least - 1e-9 && found <= most + 1e-9, "{least} {found} {most}");
             let last = plain.iter().map(|(_, until, _)| *until).fold(0.0, f64::max);
-            assert!(last <= now || holds.until(now).is_some_and(|until| until >= last));
+            assert!(last <= now || holds.last_expiry(now).is_some_and(|until| until >= last));
         }
     }
 }
 
-fn weight(hosts: &Hosts, who: u32, now: f64) -> f64 {
-    hosts.own(host(who), 0, now).or(hosts.lightest(now)).unwrap()
+fn weight(hosts: &HeavyHitters, who: u32, now: f64) -> f64 {
+    hosts.estimate(host(who), 0, now).or(hosts.untracked_bound(now)).unwrap()
 }
 
 /// No address is worth more than the sketch says, whoever is forgotten; the heavy ones are told nearly exactly.
 #[test]
 fn the_heaviest_are_known_and_nobody_is_taken_for_light() {
     let mut chance = fastrand::Rng::with_seed(2);
-    let mut hosts = Hosts::new(64);
+    let mut hosts = HeavyHitters::new(64);
     let mut exact: BTreeMap<u32, f64> = BTreeMap::new();
     let mut now = 0.0;
     // Long enough that counts are written anew.
@@ -65,7 +65,7 @@
                 1 => (1, 40.0),
                 _ => (chance.u32(2..2000), f64::from(chance.u8(1..3))),
             };
-            hosts.count(host(who), 0, queries, now);
+            hosts.add(host(who), 0, queries, now);
             *exact.entry(who).or_default() += queries / 10.0;
         }
         if step % 50 == 0 {
@@ -73,9 +73,9 @@
                 let told = weight(&hosts, *who, now);
                 assert!(told >= rate * (1.0 - 1e-6), "{who}: {told} of {rate}");
             }
-            assert!(hosts.known() <= 64);
+            assert!(hosts.tracked() <= 64);
             let all: f64 = exact.values().sum();
-            let mean = hosts.mean(now) * hosts.known() as f64;
+            let mean = hosts.mean_rate(now) * hosts.tracked() as f64;
             assert!((mean - all).abs() < 1e-6 * all, "{mean} {all}");
         }
     }
@@ -83,7 +83,7 @@
         let (told, rate) = (weight(&hosts, who, now), exact[&who]);
         assert!(told <= 1.05 * rate, "{who}: {told} of {rate}");
     }
-    hosts.count(host(0), 0, f64::NAN, now);
+    hosts.add(host(0), 0, f64::NAN, now);
     assert!(weight(&hosts, 0, now).is_finite());
 }
 
@@ -112,7 +112,13 @@
             let (who, weight) = (chance.u32(..600), 0.1 + chance.f64());
             let lasts = if chance.u8(..10) == 0 { 15.0 } else { 1.5 };
             let servers: BTreeSet<u8> = (0..3).map(|_| chance.u8(..8)).collect();
-            ledger.hand((host(who), 0), weight, servers.iter().map(|n| server(*n)), (now, lasts), now);
+            ledger.record_answer(
+                (host(who), 0),
+                weight,
+                servers.iter().map(|n| server(*n)),
+                (now, lasts),
+                now,
+            );
             exact.extend(servers.iter().map(|n| (who, *n, now + lasts, weight)));
             exact.retain(|(_, _, until, _)| *until > now);
             let n = chance.u8(..8);
@@ -121,21 +127,27 @@
             (told, true_sum) = (told + found, true_sum + least);
         }
         assert!(told <= most_over * true_sum, "{memory}: {}", told / true_sum);
-        assert!(ledger.remembered() <= memory.next_multiple_of(8));
-        assert_eq!(ledger.forgotten > 0, memory == 64);
+        assert!(ledger.entry_count() <= memory.next_multiple_of(8));
+        assert_eq!(ledger.evicted > 0, memory == 64);
         ledger.expire(now + 100.0);
-        assert_eq!(ledger.servers(), 0);
+        assert_eq!(ledger.server_count(), 0);
     }
 }
 
-const LIVES: Lives = Lives { long: 4, short: 1, overstay: 0.5 };
+const LIVES: Lifetimes = Lifetimes { normal: 4, near_cold: 1, overstay: 0.5 };
 
 fn view(index: &Index) -> View<'_> {
     View { table: 0, version: 1, index, level: 1.0, tries: 0 }
 }
 
-fn ask(handout: &mut Handout, index: &Index, who: u32, now: f64, chance: &mut fastrand::Rng) -> Answer {
-    let who = Who { host: host(who), class: 0, group: 100.0 };
+fn ask(
+    handout: &mut AddressSelector,
+    index: &Index,
+    who: u32,
+    now: f64,
+    chance: &mut fastrand::Rng,
+) -> Answer {
+    let who = Client { host: host(who), class: 0, group_rate: 100.0 };
     handout.answer(&view(index), who, 3, zone, now, || chance.f64()).unwrap()
 }
 
@@ -144,15 +156,15 @@
 #[test]
 fn no_cold_server_has_more_out_than_it_may() {
     let mut chance = fastrand::Rng::with_seed(4);
-    let mut handout = Handout::new(LIVES, 4096, (3, 4), -10.0);
+    let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
     let index = Index::of((0..8).map(|n| (server(n), if n < 2 { 0.3 } else { 1.0 })));
-    handout.spare([(server(0), 4.0), (server(1), 2.0)].into(), 0.0);
+    handout.set_cold_budgets([(server(0), 4.0), (server(1), 2.0)].into(), 0.0);
     let (mut now, mut given) = (0.0, [0; 8]);
     for step in 0..6000 {
         now += 0.01;
         if step % 100 == 0 {
-            handout.hosts.count(host(0), 0, 100.0, now);
-            (1..200).for_each(|n| handout.hosts.count(host(n), 0, 0.5, now));
+            handout.rates.add(host(0), 0, 100.0, now);
+            (1..200).for_each(|n| handout.rates.add(host(n), 0, 0.5, now));
         }
         let who = match chance.u8(..10) {
             0 => 0,
@@ -173,28 +185,28 @@
         }
     }
     assert!(given[0] > 100 && given[1] > 50, "known terminals do warm cold servers: {given:?}");
-    assert!(handout.counts.passed_over > 0 && handout.counts.nothing_better == 0);
+    assert!(handout.counters.cold_skipped > 0 && handout.counters.cold_only == 0);
 }
 
 /// A zone restarts while answers name it: what is out counts, and it gets nothing new until that has run out.
 #[test]
 fn a_server_that_restarts_keeps_its_holders() {
     let mut chance = fastrand::Rng::with_seed(5);
-    let mut handout = Handout::new(LIVES, 4096, (3, 4), -10.0);
+    let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
     let index = Index::of((0..6).map(|n| (server(n), 1.0)));
     for who in 0..120 {
-        handout.hosts.count(host(who), 0, 5.0, 1.0);
+        handout.rates.add(host(who), 0, 5.0, 1.0);
         let answer = ask(&mut handout, &index, who, 1.0, &mut chance);
         assert_eq!(answer.lifetime, 4);
     }
     assert!(handout.ledger.outstanding(&server(0), 1.0) > 20.0);
-    handout.spare([(server(0), 3.0)].into(), 1.1);
+    handout.set_cold_budgets([(server(0), 3.0)].into(), 1.1);
     for who in 0..2000 {
         let now = 1.1 + f64::from(who) * 0.002;
         let answer = ask(&mut handout, &index, 5000 + who, now, &mut chance);
         assert!(!answer.servers.contains(&server(0)), "{now}: handed out over what is held already");
     }
-    let until = handout.ledger.until(&server(0), 5.0).unwrap();
+    let until = handout.ledger.last_expiry(&server(0), 5.0).unwrap();
     assert!((5.5..6.2).contains(&until), "{until}");
     assert_eq!(handout.ledger.outstanding(&server(0), until), 0.0);
     let later = (0..400).map(|who| ask(&mut handout, &index, who, until + 0.01, &mut chance));
@@ -205,21 +217,21 @@
 #[test]
 fn nobody_is_without_an_address() {
     let mut chance = fastrand::Rng::with_seed(6);
-    let mut handout = Handout::new(LIVES, 64, (3, 4), -10.0);
+    let mut handout = AddressSelector::new(LIVES, 64, (3, 4), -10.0);
     let index = Index::of((0..3).map(|n| (server(n), 1.0)));
-    handout.spare((0..3).map(|n| (server(n), 0.5)).collect(), 0.0);
-    handout.hosts.count(host(0), 0, 100.0, 0.0);
+    handout.set_cold_budgets((0..3).map(|n| (server(n), 0.5)).collect(), 0.0);
+    handout.rates.add(host(0), 0, 100.0, 0.0);
     let mut given = BTreeSet::new();
     for who in 0..30 {
         let answer = ask(&mut handout, &index, who, 0.1, &mut chance);
         assert!(!answer.servers.is_empty());
         given.extend(answer.servers);
     }
-    assert!(given.len() == 3 && handout.counts.nothing_better > 10, "spread over all: {given:?}");
+    assert!(given.len() == 3 && handout.counters.cold_only > 10, "spread over all: {given:?}");
     assert_eq!(
         handout.answer(
             &view(&Index::default()),
-            Who { host: host(0), class: 0, group: 100.0 },
+            Client { host: host(0), class: 0, group_rate: 100.0 },
             3,
             zone,
             0.2,
@@ -233,7 +245,7 @@
 #[test]
 fn shares_follow_the_weights_and_answers_reach_two_zones() {
     let mut chance = fastrand::Rng::with_seed(7);
-    let mut handout = Handout::new(LIVES, 4096, (3, 4), -10.0);
+    let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
     // Three servers of one zone weigh nearly everything.
     let weights = [40.0, 1.0, 30.0, 1.0, 28.0];
     let index = Index::of(weights.iter().enumerate().map(|(n, weight)| (server(n as u8), *weight)));
@@ -255,17 +267,17 @@
 #[test]
 fn what_is_unknown_counts_high() {
     let mut chance = fastrand::Rng::with_seed(8);
-    let mut handout = Handout::new(LIVES, 64, (3, 4), 100.0);
+    let mut handout = AddressSelector::new(LIVES, 64, (3, 4), 100.0);
     let index = Index::of((0..4).map(|n| (server(n), 1.0)));
-    handout.spare([(server(0), 20.0)].into(), 100.0);
-    let mut got = |handout: &mut Handout, from: u32, now: f64| {
+    handout.set_cold_budgets([(server(0), 20.0)].into(), 100.0);
+    let mut got = |handout: &mut AddressSelector, from: u32, now: f64| {
         (from..from + 50).any(|who| ask(handout, &index, who, now, &mut chance).servers.contains(&server(0)))
     };
-    (0..200).for_each(|who| handout.hosts.count(host(who), 0, 1.0, 100.0));
+    (0..200).for_each(|who| handout.rates.add(host(who), 0, 1.0, 100.0));
     assert!(!got(&mut handout, 0, 104.4));
     assert!(got(&mut handout, 0, 104.6));
-    let mut fresh = Handout::new(LIVES, 64, (3, 4), 0.0);
-    fresh.spare([(server(0), 20.0)].into(), 100.0);
+    let mut fresh = AddressSelector::new(LIVES, 64, (3, 4), 0.0);
+    fresh.set_cold_budgets([(server(0), 20.0)].into(), 100.0);
     assert!(!got(&mut fresh, 0, 100.0));
 }
 
@@ -276,27 +288,30 @@
     let mut ledger = Ledger::new(64, (1, 2));
     let (late, fair) = ((host(1), 0), (host(2), 0));
     for who in [late, fair] {
-        ledger.hand(who, 5.0, [server(0)].into_iter(), (101.0, 1.0), 100.0);
+        ledger.record_answer(who, 5.0, [server(0)].into_iter(), (101.0, 1.0), 100.0);
     }
     let mut now = 100.0;
     for _ in 0..12 {
         now += 1.0;
-        ledger.met(late, &server(0), 5.0, now - 1.0, now);
+        ledger.record_use(late, &server(0), 5.0, now - 1.0, now);
         if now <= 103.0 {
-            ledger.met(fair, &server(0), 5.0, now - 1.0, now);
+            ledger.record_use(fair, &server(0), 5.0, now - 1.0, now);
         }
     }
     // Seen last ten seconds after its answer ran out, and reckoned from there.
-    assert_eq!((ledger.late(fair.0, 0), ledger.late(late.0, 0), ledger.latest), (0.0, 10.0, 10.0));
+    assert_eq!(
+        (ledger.overstay(fair.0, 0), ledger.overstay(late.0, 0), ledger.max_overstay),
+        (0.0, 10.0, 10.0)
+    );
     assert!(ledger.outstanding(&server(0), now) >= 5.0, "what it goes on with still counts");
-    ledger.hand(late, 5.0, [server(1)].into_iter(), (now + 1.0, 1.0), now);
-    assert!((ledger.until(&server(1), now).unwrap() - now - 11.0).abs() < 1.5);
+    ledger.record_answer(late, 5.0, [server(1)].into_iter(), (now + 1.0, 1.0), now);
+    assert!((ledger.last_expiry(&server(1), now).unwrap() - now - 11.0).abs() < 1.5);
     // It stops: within as long again as it was late, nothing is held any more.
-    let until = ledger.until(&server(0), now).unwrap();
-    assert!(until - now < 1.2 * ledger.latest, "{until} {now}");
+    let until = ledger.last_expiry(&server(0), now).unwrap();
+    assert!(until - now < 1.2 * ledger.max_overstay, "{until} {now}");
     assert_eq!(ledger.outstanding(&server(0), until), 0.0);
     // A stranger, or a server that it was never handed: nothing to tell by.
-    ledger.met((host(9), 0), &server(0), 5.0, now - 1.0, now);
-    ledger.met(fair, &server(3), 5.0, now - 1.0, now);
-    assert_eq!(ledger.late(fair.0, 0), 0.0);
+    ledger.record_use((host(9), 0), &server(0), 5.0, now - 1.0, now);
+    ledger.record_use(fair, &server(3), 5.0, now - 1.0, now);
+    assert_eq!(ledger.overstay(fair.0, 0), 0.0);
 }
--- a/pilot/src/handing.rs
+++ b/pilot/src/handing.rs
@@ -1,7 +1,7 @@
 //! The ledger between the tables and the DNS front: what it is told, and what is said of it.
 
 use oatlever::round::{Address, Round};
-use oatlever_handout::{Answer, Handout, Lives, Who};
+use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_reports::Sums;
 use oatlever_roster::Book;
 use oatlever_settings::Settings;
@@ -11,7 +11,7 @@
 use std::net::Ipv4Addr;
 
 pub struct Handing {
-    pub handout: Handout,
+    pub handout: AddressSelector,
     chance: fastrand::Rng,
     /// Queries a second by asker and class, as last reported.
     rates: BTreeMap<(u16, u8), f64>,
@@ -22,11 +22,13 @@
     pub fn new(settings: &Settings, seed: u64, start: f64) -> Self {
         let mut chance = fastrand::Rng::with_seed(seed);
         let dns = &settings.dns;
-        let short = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
-        let lives = Lives { long: dns.lifetime, short, overstay: dns.overstay };
+        let near_cold = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
+        let lives = Lifetimes { normal: dns.lifetime, near_cold, overstay: dns.overstay };
         let handout = match &dns.ledger {
-            None => Handout::plain(lives),
-            Some(ledger) => Handout::new(lives, ledger.askers, (chance.u64(..), chance.u64(..)), start),
+            None => AddressSelector::without_ledger(lives),
+            Some(ledger) => {
+                AddressSelector::new(lives, ledger.askers, (chance.u64(..), chance.u64(..)), start)
+            }
         };
         Handing { handout, chance, rates: BTreeMap::new(), keeps: dns.ledger.is_some() }
     }
@@ -37,7 +39,7 @@
         for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.keeps) {
             // A reading waits for the round for up to a period.
             let since = round.now - span - settings.reports.period;
-            self.handout.met(server, host, u16::from(class), (queries, span), since, round.now);
+            self.handout.record_queries(server, host, u16::from(class), (queries, span), since, round.now);
         }
         for one in round.queries.iter().filter(|one| one.span > 0.0) {
             self.rates.insert((one.proxy, one.class), one.came / one.span);
@@ -78,7 +80,7 @@
                 }
             }
         }
-        self.handout.spare(cold, now);
+        self.handout.set_cold_budgets(cold, now);
     }
 
     /// The answer to a host of an asker; none where it holds no table.
@@ -92,7 +94,7 @@
         now: f64,
     ) -> Option<Answer> {
         let view = tables.held(asker, class)?;
-        let who = Who { host, class, group: self.rate(asker, class as u8, settings) };
+        let who = Client { host, class, group_rate: self.rate(asker, class as u8, settings) };
         let zone = |server: &Address| book.known(server).map(|member| member.zone);
         let chance = &mut self.chance;
         let none = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
@@ -105,7 +107,7 @@
             return Err("the settings have no /dns/ledger".to_string());
         }
         let ledger = &mut self.handout.ledger;
-        let until = ledger.until(server, now).map(|until| until - now);
+        let until = ledger.last_expiry(server, now).map(|until| until - now);
         Ok(json!({"server": server.to_string(), "queries_a_second": ledger.outstanding(server, now),
                   "let_go_in": until, "budget": self.handout.budget(server)}))
     }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -84,23 +84,23 @@
             r,
             "ledger_servers",
             "Servers that answers may still bring queries",
-            handout.ledger.servers() as f64,
+            handout.ledger.server_count() as f64,
         );
-        measure(r, "ledger_askers", "Askers and classes remembered", handout.ledger.remembered() as f64);
-        count(r, "ledger_forgotten", "Askers forgotten while their answers lived", handout.ledger.forgotten);
+        measure(r, "ledger_askers", "Askers and classes remembered", handout.ledger.entry_count() as f64);
+        count(r, "ledger_forgotten", "Askers forgotten while their answers lived", handout.ledger.evicted);
         count(
             r,
             "ledger_overstays",
             "Times an asker used a server past its answer's end",
             handout.ledger.overstays,
         );
-        measure(r, "ledger_latest_seconds", "The longest that anybody did", handout.ledger.latest);
-        count(r, "ledger_passed_over", "Times a cold server was passed over", handout.counts.passed_over);
+        measure(r, "ledger_latest_seconds", "The longest that anybody did", handout.ledger.max_overstay);
+        count(r, "ledger_passed_over", "Times a cold server was passed over", handout.counters.cold_skipped);
         count(
             r,
             "ledger_nothing_better",
             "Answers of cold servers past their budget",
-            handout.counts.nothing_better,
+            handout.counters.cold_only,
         );
     }
     if let Some(planning) = &core.planning {
