--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -5,7 +5,7 @@
     Address, Channel, Entry, Levels, List, ListNews, ProxyQueries, QueryClass, Readiness, Round, Rules, Site,
     Stream, Tries,
 };
-use oatlever_tables::{Kind, News, Pull, Tables};
+use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables};
 use std::time::Instant;
 
 pub const ZONES: u16 = 3;
@@ -59,7 +59,7 @@
             gone_does_not_bind: true,
         };
         let class = QueryClass { benefit: 1.0, due_time: 1.0 };
-        let pull = Pull::new(&vec![Kind::Host; usize::from(proxies)], CLASSES, HOLD, 1000.0);
+        let pull = DeliveryTracker::new(&vec![AskerKind::Host; usize::from(proxies)], CLASSES, HOLD, 1000.0);
         let mut fleet = Fleet {
             balancer: Balancer::new(site, vec![class; CLASSES], channel, rules, 7),
             tables: Tables::new(usize::from(proxies), CLASSES, pull, 2000),
@@ -110,9 +110,9 @@
         let begun = Instant::now();
         round.now = self.now;
         round.acknowledgements = self.tables.acknowledgements(self.now);
-        self.tables.open(self.now, self.rounds, News::of(&round));
+        self.tables.begin_round(self.now, self.rounds, RoundInputs::from_round(&round));
         self.balancer.round(&round, &mut self.tables);
-        self.tables.close();
+        self.tables.end_round();
         begun.elapsed().as_secs_f64()
     }
 
@@ -120,7 +120,7 @@
     pub fn second(&mut self) -> Vec<f64> {
         for asker in 0..self.proxies {
             for class in 0..CLASSES as u16 {
-                self.tables.hand_out(asker, class, self.now);
+                self.tables.record_answer(asker, class, self.now);
             }
         }
         let news = self.news();
--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -29,8 +29,8 @@
 
 impl Backend for Book {
     fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
-        self.fleet.tables.hand_out(asker, class, now);
-        self.fleet.tables.held(asker, class)
+        self.fleet.tables.record_answer(asker, class, now);
+        self.fleet.tables.view(asker, class)
     }
     fn lookup_addresses(
         &mut self,
@@ -40,8 +40,8 @@
         most: usize,
         now: f64,
     ) -> Option<Answer> {
-        self.fleet.tables.hand_out(asker, class, now);
-        let view = self.fleet.tables.held(asker, class)?;
+        self.fleet.tables.record_answer(asker, class, now);
+        let view = self.fleet.tables.view(asker, class)?;
         let chance = &mut self.chance;
         let host = Ipv4Addr::from(0x0a00_0000 + chance.u32(..ASKERS));
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
--- a/benches/src/ledgers.rs
+++ b/benches/src/ledgers.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{memory, server};
 use oatlever::round::Address;
 use oatlever_handout::{AddressSelector, Client, HeavyHitters, Ledger, Lifetimes};
-use oatlever_tables::{Index, View};
+use oatlever_tables::{View, WeightedIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -115,8 +115,8 @@
         "\nns to choose four addresses   servers   drawn by weight   with the ledger   with a tenth cold"
     );
     for servers in [24_u16, 300] {
-        let index = Index::of((0..servers).map(|n| (server(n), 1.0 + f64::from(n % 5))));
-        let view = View { table: 0, version: 1, index: &index, level: 1.0, tries: 0 };
+        let index = WeightedIndex::new((0..servers).map(|n| (server(n), 1.0 + f64::from(n % 5))));
+        let view = View { table: 0, version: 1, index: &index, level: 1.0, retry_mode: 0 };
         let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
         let took = |mut handout: AddressSelector, cold: u16| {
             handout.set_cold_budgets((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
--- a/benches/src/streams.rs
+++ b/benches/src/streams.rs
@@ -7,7 +7,7 @@
 use hyper::body::Bytes;
 use oatlever::round::{Address, Writer};
 use oatlever_identity::Peer;
-use oatlever_tables::{Kind, News, Pull, Tables, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
 use oatlever_xds::{call, methods, serve, Class, Desk, Limits, Load, Shared};
 use std::cell::{Cell, RefCell};
@@ -44,15 +44,15 @@
     }
     fn arrive(&self, asker: u16) {
         let mut tables = self.0.tables.borrow_mut();
-        tables.open(0.0, 1, News::default());
+        tables.begin_round(0.0, 1, RoundInputs::default());
         tables.bind(asker, asker % 3);
-        tables.close();
+        tables.end_round();
     }
     fn depart(&self, asker: u16) {
-        self.0.tables.borrow_mut().leave(asker);
+        self.0.tables.borrow_mut().disconnect(asker);
     }
     fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
-        see(self.0.tables.borrow().held(asker, class))
+        see(self.0.tables.borrow().view(asker, class))
     }
     fn version(&self) -> u64 {
         self.0.tables.borrow().version()
@@ -61,7 +61,7 @@
         Some(format!("zone-{}", server.host[3] % 3))
     }
     fn acknowledged(&self, asker: u16, version: u64) {
-        self.0.tables.borrow_mut().pull.acknowledge(asker, version);
+        self.0.tables.borrow_mut().deliveries.acknowledge(asker, version);
         if version >= self.0.last.get() {
             self.0.current.set(self.0.current.get() + 1);
         }
@@ -136,7 +136,7 @@
 }
 
 async fn run(proxies: u16, delta: bool, executor: Rc<LocalExecutor<'static>>) -> Found {
-    let pull = Pull::new(&vec![Kind::Stream; usize::from(proxies)], CLASSES.len(), 1.5, 0.0);
+    let pull = DeliveryTracker::new(&vec![AskerKind::Stream; usize::from(proxies)], CLASSES.len(), 1.5, 0.0);
     let book = Rc::new(Book {
         tables: RefCell::new(Tables::new(usize::from(proxies), CLASSES.len(), pull, 10)),
         began: Instant::now(),
@@ -145,12 +145,12 @@
     });
     let order = |weight: f64| {
         let mut tables = book.tables.borrow_mut();
-        tables.open(0.0, 1, News::default());
+        tables.begin_round(0.0, 1, RoundInputs::default());
         for table in 0..3 {
             let moved = if weight > 1.0 { 10 } else { LINES };
             (0..moved).for_each(|n| tables.weigh(table, server(n), weight + f64::from(n)));
         }
-        tables.close();
+        tables.end_round();
         book.current.set(0);
         book.last.set(tables.version());
     };
--- a/benches/src/structures.rs
+++ b/benches/src/structures.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::server;
 use oatlever_askers::{PrefixTrie, RateLimiter};
-use oatlever_tables::Index;
+use oatlever_tables::WeightedIndex;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -29,10 +29,10 @@
     let mut chance = fastrand::Rng::with_seed(3);
     for size in [8u16, 64, 350] {
         let lines: BTreeMap<_, _> = (0..size).map(|n| (server(n), 1.0 + chance.f64())).collect();
-        let index = Index::of(lines.clone());
+        let index = WeightedIndex::new(lines.clone());
         let all: f64 = lines.values().sum();
         let ours = time(200_000, |_| {
-            black_box(index.at(chance.f64()));
+            black_box(index.at_fraction(chance.f64()));
         });
         let mut chance = fastrand::Rng::with_seed(3);
         let plain = time(200_000, |_| {
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -10,7 +10,7 @@
 use oatlever_askers::{CookieStatus, Cookies, PrefixTrie, RateDecision, RateLimiter};
 use oatlever_handout::Answer;
 use oatlever_settings::{checks, Settings};
-use oatlever_tables::{Index, View};
+use oatlever_tables::{View, WeightedIndex};
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -370,9 +370,9 @@
     names: &Names,
     owner: &Name,
     lifetime: u32,
-    index: &Index,
+    index: &WeightedIndex,
 ) -> Result<(Vec<Record>, Vec<Record>), ProtoError> {
-    let scale = f64::from(u16::MAX - 1) / index.all();
+    let scale = f64::from(u16::MAX - 1) / index.total_weight();
     let (mut answers, mut additionals) = (Vec::new(), Vec::new());
     let owner = owner.to_lowercase();
     let mut hosts = std::collections::BTreeSet::new();
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -9,7 +9,7 @@
 use oatlever_dns::{Backend, Front, Transport};
 use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
-use oatlever_tables::{Kind, News, Pull, Tables, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use quickcheck::{quickcheck, Gen};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -42,7 +42,7 @@
 
 impl Backend for Book {
     fn lookup(&mut self, asker: u16, class: u16, _: f64) -> Option<View<'_>> {
-        self.0.held(asker, class)
+        self.0.view(asker, class)
     }
     fn lookup_addresses(
         &mut self,
@@ -52,7 +52,7 @@
         most: usize,
         now: f64,
     ) -> Option<Answer> {
-        let view = self.0.held(asker, class)?;
+        let view = self.0.view(asker, class)?;
         let none = Answer { servers: Vec::new(), lifetime: 1 };
         let who = Client { host, class, group_rate: 1.0 };
         let mut chance = fastrand::Rng::with_seed(now.to_bits());
@@ -81,8 +81,8 @@
         for (asker, third) in [(0, 1), (2, 9), (3, 8)] {
             prefixes.insert(Ipv4Addr::new(127, 0, third, 0), 24, asker);
         }
-        let mut tables = Tables::new(4, 2, Pull::new(&[Kind::Host; 4], 2, 1.5, 0.0), 10);
-        tables.open(0.0, 1, News::default());
+        let mut tables = Tables::new(4, 2, DeliveryTracker::new(&[AskerKind::Host; 4], 2, 1.5, 0.0), 10);
+        tables.begin_round(0.0, 1, RoundInputs::default());
         for n in 0..servers {
             let server = Address { host: [10, 0, 0, n], port: 7000 + u16::from(n) };
             tables.weigh(0, server, f64::from(n) + 1.0);
@@ -91,7 +91,7 @@
         tables.bind(0, 0);
         tables.bind(1, 1);
         tables.bind(3, 2);
-        tables.close();
+        tables.end_round();
         Play {
             front: Front::new(&settings, Rc::new(prefixes), 5).unwrap(),
             book: Book(tables, AddressSelector::without_ledger(LIVES)),
@@ -223,9 +223,9 @@
     let mut play = Play::new(3);
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
     assert_eq!(services(&play.ask(&ask, RELAY, Transport::Udp)).len(), 3);
-    play.book.0.open(1.0, 2, News::default());
+    play.book.0.begin_round(1.0, 2, RoundInputs::default());
     play.book.0.weigh(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
-    play.book.0.close();
+    play.book.0.end_round();
     let answer = play.ask(&ask, RELAY, Transport::Udp);
     assert_eq!(services(&answer).iter().map(|(_, port, _)| *port).collect::<Vec<_>>(), [7000, 7002]);
 }
--- a/handout/src/choice.rs
+++ b/handout/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::hosts::HeavyHitters;
 use crate::ledger::Ledger;
 use oatlever::round::Address;
-use oatlever_tables::{Index, Line, Spread, View};
+use oatlever_tables::{GoldenSequence, Line, View, WeightedIndex};
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
@@ -51,7 +51,7 @@
 pub struct AddressSelector {
     pub ledger: Ledger,
     pub rates: HeavyHitters,
-    spreads: HashMap<(u16, u16), Spread>,
+    spreads: HashMap<(u16, u16), GoldenSequence>,
     /// Queries a second that each cold server may be brought by answers.
     cold: BTreeMap<Address, f64>,
     /// By table: whether its lines, as of a version, name a cold server; forgotten when the cold ones change.
@@ -145,9 +145,10 @@
         if view.index.is_empty() {
             return None;
         }
-        let spread = self.spreads.entry((view.table, who.class)).or_insert_with(|| Spread::from(chance()));
-        let part = spread.step();
-        let mut drawn = view.index.draw(most, part, &mut chance);
+        let spread =
+            self.spreads.entry((view.table, who.class)).or_insert_with(|| GoldenSequence::new(chance()));
+        let part = spread.next_fraction();
+        let mut drawn = view.index.sample(most, part, &mut chance);
         if self.plain {
             let servers = drawn.iter().map(|line| line.server).collect();
             return Some(Answer { servers, lifetime: self.lives.normal });
@@ -182,7 +183,7 @@
     fn pass_over(
         &mut self,
         drawn: &mut Vec<Line>,
-        index: &Index,
+        index: &WeightedIndex,
         who: Client,
         worth: f64,
         now: f64,
@@ -200,7 +201,7 @@
             };
             let mut found = None;
             for _ in 0..TRIES {
-                found = index.at(chance()).copied().filter(|line| fits(line, drawn));
+                found = index.at_fraction(chance()).copied().filter(|line| fits(line, drawn));
                 if found.is_some() {
                     break;
                 }
@@ -208,7 +209,7 @@
             if found.is_none() {
                 let open = index.lines().iter().filter(|line| fits(line, drawn));
                 let open: Vec<(Address, f64)> = open.map(|line| (line.server, line.weight)).collect();
-                found = Index::of(open).at(chance()).copied();
+                found = WeightedIndex::new(open).at_fraction(chance()).copied();
             }
             let Some(next) = found else { break };
             drawn.push(next);
@@ -233,7 +234,7 @@
     fn reach_two_zones(
         &self,
         drawn: &mut [Line],
-        index: &Index,
+        index: &WeightedIndex,
         zone_of: impl Fn(&Address) -> Option<u16>,
         chance: &mut impl FnMut() -> f64,
     ) {
@@ -245,7 +246,7 @@
         let away =
             |line: &&Line| Some(zone_of(&line.server)) != zone && !self.cold.contains_key(&line.server);
         let others = index.lines().iter().filter(away).map(|line| (line.server, line.weight));
-        if let Some(other) = Index::of(others).at(chance()) {
+        if let Some(other) = WeightedIndex::new(others).at_fraction(chance()) {
             drawn[last] = *other;
         }
     }
--- a/handout/tests/handout.rs
+++ b/handout/tests/handout.rs
@@ -2,7 +2,7 @@
 
 use oatlever::round::Address;
 use oatlever_handout::{AddressSelector, Answer, Client, ExpiryWheel, HeavyHitters, Ledger, Lifetimes};
-use oatlever_tables::{Index, View};
+use oatlever_tables::{View, WeightedIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -136,13 +136,13 @@
 
 const LIVES: Lifetimes = Lifetimes { normal: 4, near_cold: 1, overstay: 0.5 };
 
-fn view(index: &Index) -> View<'_> {
-    View { table: 0, version: 1, index, level: 1.0, tries: 0 }
+fn view(index: &WeightedIndex) -> View<'_> {
+    View { table: 0, version: 1, index, level: 1.0, retry_mode: 0 }
 }
 
 fn ask(
     handout: &mut AddressSelector,
-    index: &Index,
+    index: &WeightedIndex,
     who: u32,
     now: f64,
     chance: &mut fastrand::Rng,
@@ -157,7 +157,7 @@
 fn no_cold_server_has_more_out_than_it_may() {
     let mut chance = fastrand::Rng::with_seed(4);
     let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
-    let index = Index::of((0..8).map(|n| (server(n), if n < 2 { 0.3 } else { 1.0 })));
+    let index = WeightedIndex::new((0..8).map(|n| (server(n), if n < 2 { 0.3 } else { 1.0 })));
     handout.set_cold_budgets([(server(0), 4.0), (server(1), 2.0)].into(), 0.0);
     let (mut now, mut given) = (0.0, [0; 8]);
     for step in 0..6000 {
@@ -193,7 +193,7 @@
 fn a_server_that_restarts_keeps_its_holders() {
     let mut chance = fastrand::Rng::with_seed(5);
     let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
-    let index = Index::of((0..6).map(|n| (server(n), 1.0)));
+    let index = WeightedIndex::new((0..6).map(|n| (server(n), 1.0)));
     for who in 0..120 {
         handout.rates.add(host(who), 0, 5.0, 1.0);
         let answer = ask(&mut handout, &index, who, 1.0, &mut chance);
@@ -218,7 +218,7 @@
 fn nobody_is_without_an_address() {
     let mut chance = fastrand::Rng::with_seed(6);
     let mut handout = AddressSelector::new(LIVES, 64, (3, 4), -10.0);
-    let index = Index::of((0..3).map(|n| (server(n), 1.0)));
+    let index = WeightedIndex::new((0..3).map(|n| (server(n), 1.0)));
     handout.set_cold_budgets((0..3).map(|n| (server(n), 0.5)).collect(), 0.0);
     handout.rates.add(host(0), 0, 100.0, 0.0);
     let mut given = BTreeSet::new();
@@ -230,7 +230,7 @@
     assert!(given.len() == 3 && handout.counters.cold_only > 10, "spread over all: {given:?}");
     assert_eq!(
         handout.answer(
-            &view(&Index::default()),
+            &view(&WeightedIndex::default()),
             Client { host: host(0), class: 0, group_rate: 100.0 },
             3,
             zone,
@@ -248,7 +248,7 @@
     let mut handout = AddressSelector::new(LIVES, 4096, (3, 4), -10.0);
     // Three servers of one zone weigh nearly everything.
     let weights = [40.0, 1.0, 30.0, 1.0, 28.0];
-    let index = Index::of(weights.iter().enumerate().map(|(n, weight)| (server(n as u8), *weight)));
+    let index = WeightedIndex::new(weights.iter().enumerate().map(|(n, weight)| (server(n as u8), *weight)));
     let mut first = [0.0; 5];
     for who in 0..200 {
         let answer = ask(&mut handout, &index, who, 1.0, &mut chance);
@@ -268,7 +268,7 @@
 fn what_is_unknown_counts_high() {
     let mut chance = fastrand::Rng::with_seed(8);
     let mut handout = AddressSelector::new(LIVES, 64, (3, 4), 100.0);
-    let index = Index::of((0..4).map(|n| (server(n), 1.0)));
+    let index = WeightedIndex::new((0..4).map(|n| (server(n), 1.0)));
     handout.set_cold_budgets([(server(0), 20.0)].into(), 100.0);
     let mut got = |handout: &mut AddressSelector, from: u32, now: f64| {
         (from..from + 50).any(|who| ask(handout, &index, who, now, &mut chance).servers.contains(&server(0)))
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, StatusCode};
 use oatlever::round::Address;
 use oatlever_guard::{Check, Override, Pin};
-use oatlever_tables::{Kept, Lines, Refusal};
+use oatlever_tables::{FreezeError, Lines, TableVersion};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -279,18 +279,18 @@
 fn act(pilot: &Pilot, command: &Command, body: &[u8]) -> Result<Value, String> {
     let mut core = pilot.core.borrow_mut();
     let now = core.now();
-    let find = |table: u16, version: u64| -> Result<Kept, String> {
-        let versions = core.tables.versions(table).ok_or(Refusal::NoTable.to_string())?;
-        versions.find(version).cloned().ok_or(Refusal::NoVersion.to_string())
+    let find = |table: u16, version: u64| -> Result<TableVersion, String> {
+        let versions = core.tables.versions(table).ok_or(FreezeError::NoTable.to_string())?;
+        versions.find(version).cloned().ok_or(FreezeError::NoVersion.to_string())
     };
     let changed = match command {
         Command::List => {
-            let tables = core.tables.all().map(|(table, version, index, users)| {
+            let tables = core.tables.summaries().map(|(table, version, index, users)| {
                 let kept = core.tables.versions(table).into_iter().flat_map(|versions| versions.all());
                 let kept =
                     kept.map(|k| json!({"version": k.version, "ago": now - k.at, "lines": k.lines.len()}));
                 json!({"table": table, "version": version, "lines": index.lines().len(), "users": users,
-                       "frozen_at": core.tables.frozen_at(table), "kept": kept.collect::<Vec<_>>()})
+                       "frozen_at": core.tables.frozen_version(table), "kept": kept.collect::<Vec<_>>()})
             });
             return Ok(tables.collect());
         }
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -14,7 +14,7 @@
 use oatlever_reports::{Counters, Owner, Sums, Target, Text};
 use oatlever_roster::{Book, Document, Moment, Taken};
 use oatlever_settings::{checks, Settings};
-use oatlever_tables::{Kind, News, Pull, Review, Tables, Unreviewed, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, NoReview, Review, RoundInputs, Tables, View};
 use oatlever_xds::Load;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -87,16 +87,16 @@
         let owners: Vec<Owner> = settings.askers.iter().enumerate().map(owner).collect();
         let host = |text: &String| text.ends_with("/32");
         let kind = |asker: &oatlever_settings::Asker| match asker {
-            a if a.node.is_some() => Kind::Stream,
-            a if a.metrics.is_some() && a.prefixes.iter().all(host) => Kind::Host,
-            _ => Kind::Group,
+            a if a.node.is_some() => AskerKind::Stream,
+            a if a.metrics.is_some() && a.prefixes.iter().all(host) => AskerKind::Host,
+            _ => AskerKind::Group,
         };
-        let kinds: Vec<Kind> = settings.askers.iter().map(kind).collect();
+        let kinds: Vec<AskerKind> = settings.askers.iter().map(kind).collect();
         // Of groups without counters of their own, some may always hold an answer.
-        let lasting = owners.iter().zip(&kinds).map(|(o, kind)| !o.counted && *kind != Kind::Stream);
+        let lasting = owners.iter().zip(&kinds).map(|(o, kind)| !o.counted && *kind != AskerKind::Stream);
         let groups: Vec<bool> = lasting.collect();
         let classes = settings.classes.len();
-        let pull = Pull::new(&kinds, classes, settings.longest_hold(), now);
+        let pull = DeliveryTracker::new(&kinds, classes, settings.longest_hold(), now);
         let names = settings.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             clock: Clock::starting_at(now),
@@ -129,7 +129,7 @@
             settings,
         };
         if let Some(control) = &core.settings.control {
-            core.tables.keep_versions(control.versions);
+            core.tables.set_max_versions(control.versions);
         }
         let up: Vec<u16> = core.presence.up().collect();
         for asker in up {
@@ -175,7 +175,7 @@
         tracing::info!(asker = %name, up, "stream");
         self.stream(asker, up);
         if !up {
-            self.tables.leave(asker);
+            self.tables.disconnect(asker);
         }
         let now = self.now();
         self.step(now);
@@ -305,7 +305,7 @@
         for asker in self.presence.expire(now) {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is away");
             self.stream(asker, false);
-            self.tables.leave(asker);
+            self.tables.disconnect(asker);
         }
         if now >= self.flush_at {
             let (tries, queries) = self.sums.flush();
@@ -334,21 +334,21 @@
         if self.tables.any_frozen() {
             let warm_within = self.settings.rules.warm_within;
             let young = self.book.members().iter().filter(|(_, m)| now - m.started < warm_within);
-            self.tables.spare(young.map(|(server, _)| *server).collect());
+            self.tables.set_cold(young.map(|(server, _)| *server).collect());
         }
         if let Some(planning) = &mut self.planning {
             let zone = |asker| self.owners.get(usize::from(asker)).map_or(0, |owner: &Owner| owner.zone);
             round.plan = planning.plan(&round, &self.book, zone, &self.settings);
         }
         self.handing.hear(&round, &mut self.sums, &self.settings);
-        let (version, news) = (self.tables.version(), News::of(&round));
-        self.tables.open(now, self.counts.rounds, news);
+        let (version, news) = (self.tables.version(), RoundInputs::from_round(&round));
+        self.tables.begin_round(now, self.counts.rounds, news);
         self.balancer.round(&round, &mut self.tables);
         let actions = match &mut self.guarding {
-            None => self.tables.close(),
+            None => self.tables.end_round(),
             Some(guarding) => {
                 guarding.hear(&round, &self.book, &self.tables, &self.settings);
-                self.tables.close_reviewed(&mut guarding.review(&self.settings))
+                self.tables.end_round_reviewed(&mut guarding.review(&self.settings))
             }
         };
         self.handing.spare(&self.tables, &self.book, &self.settings, now);
@@ -364,7 +364,7 @@
             tracing::info!(round = self.counts.rounds, note);
         }
         if self.tables.version() != version {
-            let news: Vec<String> = news.kinds().map(|(kind, count)| format!("{count} {kind}")).collect();
+            let news: Vec<String> = news.nonzero().map(|(kind, count)| format!("{count} {kind}")).collect();
             tracing::debug!(
                 round = self.counts.rounds,
                 version = self.tables.version(),
@@ -381,7 +381,7 @@
     pub fn by_hand<R>(&mut self, act: impl FnOnce(&mut Tables, &mut dyn Review) -> R) -> R {
         let now = self.now();
         match &mut self.guarding {
-            None => act(&mut self.tables, &mut Unreviewed),
+            None => act(&mut self.tables, &mut NoReview),
             Some(guarding) => {
                 guarding.state.now = now;
                 act(&mut self.tables, &mut guarding.review(&self.settings))
@@ -402,8 +402,8 @@
         if self.sign(asker, now) {
             self.step(now);
         }
-        self.tables.hand_out(asker, class, now);
-        self.tables.held(asker, class)
+        self.tables.record_answer(asker, class, now);
+        self.tables.view(asker, class)
     }
 
     fn lookup_addresses(
@@ -422,7 +422,7 @@
     fn is_listed(&self, host: Ipv4Addr) -> bool {
         let host = host.octets();
         let ports = Address { host, port: 0 }..=Address { host, port: u16::MAX };
-        self.book.members().range(ports.clone()).next().is_some() || self.tables.names(ports)
+        self.book.members().range(ports.clone()).next().is_some() || self.tables.references_any(ports)
     }
 
     fn tables_version(&self) -> u64 {
--- a/pilot/src/guarding.rs
+++ b/pilot/src/guarding.rs
@@ -43,7 +43,7 @@
     /// Takes in what a round brought, and what the list says by now.
     pub fn hear(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
         self.evidence.hear(&round.tries, &round.queries, &round.health, round.now);
-        let named = tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
+        let named = tables.summaries().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let known: BTreeSet<Address> = book.members().keys().copied().chain(named).collect();
         self.evidence.keep_only(&known);
         let entry = |server: Address| {
@@ -59,10 +59,10 @@
         self.state.now = round.now;
         self.evidence.tell(known.into_iter().filter_map(entry), &mut self.state);
         for asker in 0..settings.askers.len() as u16 {
-            self.holders.bind(asker, tables.bound(asker), round.now);
+            self.holders.bind(asker, tables.bound_table(asker), round.now);
         }
         self.holders.expire(round.now);
-        let all = tables.all().map(|(table, ..)| table).chain(self.holders.tables());
+        let all = tables.summaries().map(|(table, ..)| table).chain(self.holders.tables());
         self.state.demand = all.map(|table| (table, self.demand(table, settings))).collect();
         self.guard.expire(round.now);
     }
@@ -79,12 +79,12 @@
 }
 
 impl Review for Reviewer<'_> {
-    fn expect(&mut self, proposals: &BTreeMap<u16, Lines>) {
+    fn prepare(&mut self, proposals: &BTreeMap<u16, Lines>) {
         let of = &mut *self.of;
         of.guard.expect(&of.state, proposals);
     }
 
-    fn lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
+    fn review_lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
         // Who was bound in this round counts already.
         let of = &mut *self.of;
         for asker in users {
@@ -109,7 +109,7 @@
         instead
     }
 
-    fn level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
+    fn review_level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
         let classes = &self.settings.classes;
         let place = usize::from(class);
         let of = &mut *self.of;
--- a/pilot/src/handing.rs
+++ b/pilot/src/handing.rs
@@ -64,7 +64,7 @@
         let asking =
             settings.askers.iter().enumerate().filter(|(_, a)| a.metrics.is_none() && a.node.is_none());
         for (asker, one) in asking.filter(|_| !cold.is_empty()) {
-            if let Some(table) = tables.bound(asker as u16) {
+            if let Some(table) = tables.bound_table(asker as u16) {
                 // The usual rate is of all classes together: counted for each, cold servers would be given several
                 // times their part until the first report.
                 let heard =
@@ -72,11 +72,11 @@
                 *rates.entry(table).or_default() += heard.reduce(|a, b| a + b).unwrap_or(one.usual_rate);
             }
         }
-        for (table, _, index, _) in tables.all() {
+        for (table, _, index, _) in tables.summaries() {
             let Some(rate) = rates.get(&table) else { continue };
             for line in index.lines() {
                 if let Some(budget) = cold.get_mut(&line.server) {
-                    *budget += rate * line.weight / index.all();
+                    *budget += rate * line.weight / index.total_weight();
                 }
             }
         }
@@ -93,7 +93,7 @@
         settings: &Settings,
         now: f64,
     ) -> Option<Answer> {
-        let view = tables.held(asker, class)?;
+        let view = tables.view(asker, class)?;
         let who = Client { host, class, group_rate: self.rate(asker, class as u8, settings) };
         let zone = |server: &Address| book.known(server).map(|member| member.zone);
         let chance = &mut self.chance;
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -56,9 +56,24 @@
     count(r, "reports_strange", "Samples that name nothing known", core.sums.strange);
     count(r, "checks", "Health checks made", core.counts.checks);
     measure(r, "askers_up", "Askers that are there", core.presence.up().count() as f64);
-    measure(r, "channel_waiting_lines", "Lines not yet in use everywhere", core.tables.pull.waiting());
-    measure(r, "channel_waiting_lines_most", "The most that ever waited", core.tables.pull.most);
-    count(r, "channel_messages", "Changes ordered, counted at each asker", core.tables.pull.ordered);
+    measure(
+        r,
+        "channel_waiting_lines",
+        "Lines not yet in use everywhere",
+        core.tables.deliveries.pending_lines(),
+    );
+    measure(
+        r,
+        "channel_waiting_lines_most",
+        "The most that ever waited",
+        core.tables.deliveries.max_pending_lines,
+    );
+    count(
+        r,
+        "channel_messages",
+        "Changes ordered, counted at each asker",
+        core.tables.deliveries.message_count,
+    );
     count(r, "dns_questions", "Questions that came", front.counters.queries);
     counts(r, ("dns_answers", "Answers, by response code", "code"), &front.counters.answers);
     count(r, "dns_dropped", "Packets that are no question", front.counters.dropped);
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -131,7 +131,7 @@
     }
 
     fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
-        see(self.pilot.core.borrow().tables.held(asker, class))
+        see(self.pilot.core.borrow().tables.view(asker, class))
     }
 
     fn version(&self) -> u64 {
@@ -145,14 +145,14 @@
     }
 
     fn acknowledged(&self, asker: u16, version: u64) {
-        self.pilot.core.borrow_mut().tables.pull.acknowledge(asker, version);
+        self.pilot.core.borrow_mut().tables.deliveries.acknowledge(asker, version);
     }
 
     fn refused(&self, asker: u16, version: u64, why: &str) {
         let mut core = self.pilot.core.borrow_mut();
         let name = &core.settings.askers[usize::from(asker)].name;
         tracing::warn!(asker = %name, version, why, "tables refused");
-        core.tables.pull.refuse(asker, version);
+        core.tables.deliveries.reject(asker, version);
     }
 
     fn load(&self, asker: u16, loads: Vec<oatlever_xds::Load>) {
@@ -175,7 +175,8 @@
             Some((Target::Asker(place as u16), place_to_read))
         });
         // What a list dropped is read on while tables name it: it may serve, and the list may err.
-        let named = core.tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
+        let named =
+            core.tables.summaries().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
             let host = SocketAddr::V4(core.book.known(&server)?.metrics?);
--- a/pilot/src/status.rs
+++ b/pilot/src/status.rs
@@ -47,14 +47,14 @@
 fn status(pilot: &Pilot) -> Value {
     let core = pilot.core.borrow();
     let now = core.now();
-    let tables = core.tables.all().map(|(table, version, index, users)| {
+    let tables = core.tables.summaries().map(|(table, version, index, users)| {
         let lines = index.lines().iter().map(|line| (line.server.to_string(), json!(line.weight)));
         json!({"table": table, "version": version, "users": users,
                "lines": lines.collect::<serde_json::Map<_, _>>()})
     });
     let askers = core.settings.askers.iter().enumerate().map(|(place, asker)| {
         let place = place as u16;
-        let held = core.tables.held(place, 0);
+        let held = core.tables.view(place, 0);
         json!({"name": asker.name, "zone": asker.zone, "up": core.presence.is_up(place),
                "table": held.map(|view| view.table)})
     });
@@ -69,7 +69,7 @@
         "rounds": core.counts.rounds,
         "version": core.tables.version(),
         "list": {"age": core.list_heard.map(|at| now - at), "trouble": core.list_trouble},
-        "channel": {"waiting": core.tables.pull.waiting(), "most": core.tables.pull.most},
+        "channel": {"waiting": core.tables.deliveries.pending_lines(), "most": core.tables.deliveries.max_pending_lines},
         "plan": core.planning.as_ref().map(|planning| planning.explain(&core.settings, now)),
         "tables": tables.collect::<Vec<_>>(),
         "askers": askers.collect::<Vec<_>>(),
@@ -97,12 +97,12 @@
         let has = |name: &String| change.lines.iter().any(|(line, _, _)| line.to_string() == *name);
         table.is_none_or(|table| change.table == table) && server.as_ref().is_none_or(has)
     };
-    let told = core.tables.history.newest().filter(named).take(most).map(|change| {
+    let told = core.tables.history.newest_first().filter(named).take(most).map(|change| {
         let lines = change.lines.iter().map(|(line, from, to)| (line.to_string(), json!([from, to])));
         let levels = change.levels.iter().map(|(class, (level, tries))| {
             json!({"class": core.settings.classes[usize::from(*class)].name, "level": level, "tries": tries})
         });
-        let news = change.news.kinds().map(|(kind, count)| (kind.to_string(), json!(count)));
+        let news = change.inputs.nonzero().map(|(kind, count)| (kind.to_string(), json!(count)));
         json!({"version": change.version, "ago": now - change.at, "round": change.round,
                "news": news.collect::<serde_json::Map<_, _>>(), "table": change.table,
                "lines": lines.collect::<serde_json::Map<_, _>>(), "levels": levels.collect::<Vec<_>>()})
--- a/tables/src/history.rs
+++ b/tables/src/history.rs
@@ -5,7 +5,7 @@
 
 /// What came in for a round, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct RoundInputs {
     pub lists: usize,
     pub streams: usize,
     pub queries: usize,
@@ -15,9 +15,9 @@
     pub timers: usize,
 }
 
-impl News {
-    pub fn of(round: &Round) -> Self {
-        News {
+impl RoundInputs {
+    pub fn from_round(round: &Round) -> Self {
+        RoundInputs {
             lists: round.lists.len(),
             streams: round.streams.len(),
             queries: round.queries.len(),
@@ -29,7 +29,7 @@
     }
 
     /// The kinds that came in, with their number.
-    pub fn kinds(&self) -> impl Iterator<Item = (&'static str, usize)> {
+    pub fn nonzero(&self) -> impl Iterator<Item = (&'static str, usize)> {
         let all = [
             ("lists", self.lists),
             ("streams", self.streams),
@@ -50,7 +50,7 @@
     /// s, on the pilot's clock.
     pub at: f64,
     pub round: u64,
-    pub news: News,
+    pub inputs: RoundInputs,
     pub table: u16,
     /// Server, weight before, weight after.
     pub lines: Vec<(Address, f64, f64)>,
@@ -65,7 +65,7 @@
 }
 
 impl History {
-    pub fn keep(most: usize) -> Self {
+    pub fn with_capacity(most: usize) -> Self {
         History { most: most.max(1), changes: VecDeque::new() }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Newest first.
-    pub fn newest(&self) -> impl Iterator<Item = &Change> {
+    pub fn newest_first(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter().rev()
     }
 }
--- a/tables/src/lib.rs
+++ b/tables/src/lib.rs
@@ -11,10 +11,10 @@
 mod pull;
 mod versions;
 
-pub use history::{Change, History, News};
-pub use index::{Index, Line, Spread};
-pub use pull::{Kind, Pull};
-pub use versions::{frozen, Kept, Lines, Refusal, Versions};
+pub use history::{Change, History, RoundInputs};
+pub use index::{GoldenSequence, Line, WeightedIndex};
+pub use pull::{AskerKind, DeliveryTracker};
+pub use versions::{frozen_lines, FreezeError, Lines, TableVersion, Versions};
 
 use oatlever::round::{named_classes, Acknowledgement, Actions, Address, Writer, ALL_TABLES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,32 +32,32 @@
     pub table: u16,
     /// The version that last changed these lines.
     pub version: u64,
-    pub index: &'a Index,
+    pub index: &'a WeightedIndex,
     /// Part of the class that is let in, or queries a second, as the site's levels say.
     pub level: f64,
     /// Mode of a further try.
-    pub tries: u8,
+    pub retry_mode: u8,
 }
 
 /// Whoever looks at tables before they go out, and may put other lines in their place.
 pub trait Review {
     /// The tables that are looked at next, all of one round, as they are wanted.
-    fn expect(&mut self, _proposals: &BTreeMap<u16, Lines>) {}
+    fn prepare(&mut self, _proposals: &BTreeMap<u16, Lines>) {}
     /// Lines that are to go out instead; none where these may. `users` are those who use the table.
-    fn lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines>;
+    fn review_lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines>;
     /// The level and the mode of further tries of a class that are to go out.
-    fn level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8);
+    fn review_level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8);
 }
 
 /// Lets everything out.
-pub struct Unreviewed;
+pub struct NoReview;
 
-impl Review for Unreviewed {
-    fn lines(&mut self, _: u16, _: &Lines, _: &BTreeSet<u16>) -> Option<Lines> {
+impl Review for NoReview {
+    fn review_lines(&mut self, _: u16, _: &Lines, _: &BTreeSet<u16>) -> Option<Lines> {
         None
     }
 
-    fn level(&mut self, _: u16, _: u16, level: f64, tries: u8) -> (f64, u8) {
+    fn review_level(&mut self, _: u16, _: u16, level: f64, tries: u8) -> (f64, u8) {
         (level, tries)
     }
 }
@@ -69,7 +69,7 @@
     levels: BTreeMap<u16, (f64, u8)>,
     /// By class, as readers see them, where they are not let in whole and never tried again.
     shown: BTreeMap<u16, (f64, u8)>,
-    index: Index,
+    index: WeightedIndex,
     version: u64,
     users: BTreeSet<u16>,
     versions: Versions,
@@ -84,7 +84,7 @@
 struct Open {
     now: f64,
     round: u64,
-    news: News,
+    news: RoundInputs,
     /// Tables with lines touched.
     touched: BTreeSet<u16>,
     /// Tables with levels touched.
@@ -105,13 +105,13 @@
     version: u64,
     open: Open,
     actions: Actions,
-    pub pull: Pull,
+    pub deliveries: DeliveryTracker,
     pub history: History,
 }
 
 impl Tables {
     /// For so many askers and classes; `pull` keeps the book of what waits, `kept` changes are remembered.
-    pub fn new(askers: usize, classes: usize, pull: Pull, kept: usize) -> Self {
+    pub fn new(askers: usize, classes: usize, pull: DeliveryTracker, kept: usize) -> Self {
         Tables {
             classes,
             tables: Vec::new(),
@@ -122,8 +122,8 @@
             version: 0,
             open: Open::default(),
             actions: Actions::default(),
-            pull,
-            history: History::keep(kept),
+            deliveries: pull,
+            history: History::with_capacity(kept),
         }
     }
 
@@ -133,20 +133,20 @@
     }
 
     /// What an asker may use for a class; none before it is bound.
-    pub fn held(&self, asker: u16, class: u16) -> Option<View<'_>> {
+    pub fn view(&self, asker: u16, class: u16) -> Option<View<'_>> {
         let table = (*self.bound.get(usize::from(asker))?)?;
         let found = self.tables.get(usize::from(table))?;
         let (level, tries) = found.shown.get(&class).copied().unwrap_or(ALL);
-        Some(View { table, version: found.version, index: &found.index, level, tries })
+        Some(View { table, version: found.version, index: &found.index, level, retry_mode: tries })
     }
 
     /// The table that an asker is bound to.
-    pub fn bound(&self, asker: u16) -> Option<u16> {
+    pub fn bound_table(&self, asker: u16) -> Option<u16> {
         self.bound.get(usize::from(asker)).copied().flatten()
     }
 
     /// Each table's number, version, lines and users.
-    pub fn all(&self) -> impl Iterator<Item = (u16, u64, &Index, usize)> {
+    pub fn summaries(&self) -> impl Iterator<Item = (u16, u64, &WeightedIndex, usize)> {
         let used = self.tables.iter().enumerate().filter(|(_, t)| !t.users.is_empty() || !t.lines.is_empty());
         used.map(|(n, t)| (n as u16, t.version, &t.index, t.users.len()))
     }
@@ -157,31 +157,31 @@
     }
 
     /// Whether any table has a line for a server in this range.
-    pub fn names(&self, servers: RangeInclusive<Address>) -> bool {
+    pub fn references_any(&self, servers: RangeInclusive<Address>) -> bool {
         self.tables.iter().any(|table| table.lines.range(servers.clone()).next().is_some())
     }
 
     /// Starts a round of orders.
-    pub fn open(&mut self, now: f64, round: u64, news: News) {
+    pub fn begin_round(&mut self, now: f64, round: u64, news: RoundInputs) {
         self.open = Open { now, round, news, ..Open::default() };
     }
 
     /// Ends it: indexes, the version, the channel's book and the history follow the orders. Returns what
     /// the program itself is to do.
-    pub fn close(&mut self) -> Actions {
-        self.close_reviewed(&mut Unreviewed)
+    pub fn end_round(&mut self) -> Actions {
+        self.end_round_reviewed(&mut NoReview)
     }
 
     /// The same, with a review of each table that changes before anybody can read it. Tables that are frozen
     /// or were replaced by a review are looked at in every round: what they show may have drained or warmed.
-    pub fn close_reviewed(&mut self, review: &mut dyn Review) -> Actions {
+    pub fn end_round_reviewed(&mut self, review: &mut dyn Review) -> Actions {
         let open = std::mem::take(&mut self.open);
         let held = self.tables.iter().enumerate().filter(|(_, held)| held.frozen.is_some() || held.replaced);
         let mut tables: BTreeSet<u16> = held.map(|(place, _)| place as u16).collect();
         tables.extend(open.touched.iter().chain(&open.turned));
         let laid = self.lay(&tables, &open, review);
         for (asker, lines) in &open.cost {
-            self.pull.order(*asker, *lines, open.mark, self.version, open.now);
+            self.deliveries.enqueue(*asker, *lines, open.mark, self.version, open.now);
         }
         // What moved without an order is under way to its users like any change.
         for (table, moved) in laid.into_iter().filter(|(table, _)| !open.touched.contains(table)) {
@@ -191,7 +191,7 @@
     }
 
     /// Keeps so many versions of each table.
-    pub fn keep_versions(&mut self, kept: usize) {
+    pub fn set_max_versions(&mut self, kept: usize) {
         self.kept = kept;
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// The version that a table is frozen at.
-    pub fn frozen_at(&self, table: u16) -> Option<u64> {
+    pub fn frozen_version(&self, table: u16) -> Option<u64> {
         self.tables.get(usize::from(table))?.frozen.as_ref().map(|(version, _)| *version)
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Which servers are cold now: frozen tables give them no more than the decisions do.
-    pub fn spare(&mut self, cold: BTreeSet<Address>) {
+    pub fn set_cold(&mut self, cold: BTreeSet<Address>) {
         self.cold = cold;
     }
 
@@ -221,11 +221,11 @@
         version: u64,
         now: f64,
         review: &mut dyn Review,
-    ) -> Result<u64, Refusal> {
-        let held = self.tables.get_mut(usize::from(table)).ok_or(Refusal::NoTable)?;
-        let lines = held.versions.find(version).ok_or(Refusal::NoVersion)?.lines.clone();
+    ) -> Result<u64, FreezeError> {
+        let held = self.tables.get_mut(usize::from(table)).ok_or(FreezeError::NoTable)?;
+        let lines = held.versions.find(version).ok_or(FreezeError::NoVersion)?.lines.clone();
         if lines.is_empty() {
-            return Err(Refusal::Empty);
+            return Err(FreezeError::Empty);
         }
         held.frozen = Some((version, lines));
         Ok(self.lay_by_hand(table, now, review))
@@ -238,19 +238,19 @@
         lines: Lines,
         now: f64,
         review: &mut dyn Review,
-    ) -> Result<u64, Refusal> {
-        let held = self.tables.get_mut(usize::from(table)).ok_or(Refusal::NoTable)?;
+    ) -> Result<u64, FreezeError> {
+        let held = self.tables.get_mut(usize::from(table)).ok_or(FreezeError::NoTable)?;
         if !lines.values().any(|weight| *weight > 0.0) {
-            return Err(Refusal::Empty);
+            return Err(FreezeError::Empty);
         }
         held.frozen = Some((0, lines));
         Ok(self.lay_by_hand(table, now, review))
     }
 
     /// Lets a frozen table follow the decisions again. Returns the version that brings it.
-    pub fn release(&mut self, table: u16, now: f64, review: &mut dyn Review) -> Result<u64, Refusal> {
-        let held = self.tables.get_mut(usize::from(table)).ok_or(Refusal::NoTable)?;
-        held.frozen.take().ok_or(Refusal::NotFrozen)?;
+    pub fn release(&mut self, table: u16, now: f64, review: &mut dyn Review) -> Result<u64, FreezeError> {
+        let held = self.tables.get_mut(usize::from(table)).ok_or(FreezeError::NoTable)?;
+        held.frozen.take().ok_or(FreezeError::NotFrozen)?;
         Ok(self.lay_by_hand(table, now, review))
     }
 
@@ -265,7 +265,7 @@
 
     fn charge_users(&mut self, table: u16, lines: usize, now: f64) {
         for asker in &self.tables[usize::from(table)].users {
-            self.pull.order(*asker, lines as f64, None, self.version, now);
+            self.deliveries.enqueue(*asker, lines as f64, None, self.version, now);
         }
     }
 
@@ -275,7 +275,7 @@
         let open = held.lines.iter().filter(|(server, _)| !self.withdrawn.contains(server));
         let own: Lines = open.map(|(server, weight)| (*server, *weight)).collect();
         match &held.frozen {
-            Some((_, old)) => frozen(old, &own, |server| self.cold.contains(server)),
+            Some((_, old)) => frozen_lines(old, &own, |server| self.cold.contains(server)),
             None => own,
         }
     }
@@ -286,17 +286,17 @@
         let (mut laid, next) = (Vec::new(), self.version + 1);
         let there = tables.iter().filter(|table| usize::from(**table) < self.tables.len());
         let wanted: BTreeMap<u16, Lines> = there.map(|table| (*table, self.usable(*table))).collect();
-        review.expect(&wanted);
+        review.prepare(&wanted);
         for (table, own) in &wanted {
             let held = &mut self.tables[usize::from(*table)];
-            let instead = review.lines(*table, own, &held.users);
+            let instead = review.review_lines(*table, own, &held.users);
             held.replaced = instead.is_some();
             let lines = instead.as_ref().unwrap_or(own);
-            let index = Index::of(lines.iter().map(|(server, weight)| (*server, *weight)));
+            let index = WeightedIndex::new(lines.iter().map(|(server, weight)| (*server, *weight)));
             let mut shown = BTreeMap::new();
             for class in 0..self.classes as u16 {
                 let ordered = held.levels.get(&class).copied().unwrap_or(ALL);
-                let level = review.level(*table, class, ordered.0, ordered.1);
+                let level = review.review_level(*table, class, ordered.0, ordered.1);
                 held.replaced |= level.0 != ordered.0;
                 if level != ALL {
                     shown.insert(class, level);
@@ -312,10 +312,18 @@
             held.index = index;
             held.version = next;
             let lines = held.index.lines().iter().map(|line| (line.server, line.weight)).collect();
-            held.versions.keep(Kept { version: next, at: open.now, lines }, self.kept);
+            held.versions.push(TableVersion { version: next, at: open.now, lines }, self.kept);
             let levels = if turned { held.shown.clone() } else { BTreeMap::new() };
             let (at, round, news) = (open.now, open.round, open.news);
-            self.history.push(Change { version: next, at, round, news, table: *table, lines: moved, levels });
+            self.history.push(Change {
+                version: next,
+                at,
+                round,
+                inputs: news,
+                table: *table,
+                lines: moved,
+                levels,
+            });
         }
         if !laid.is_empty() {
             self.version = next;
@@ -324,22 +332,22 @@
     }
 
     /// An answer built from what is held now goes out to an asker.
-    pub fn hand_out(&mut self, asker: u16, class: u16, now: f64) {
-        self.pull.hand_out(asker, class, self.version, now);
+    pub fn record_answer(&mut self, asker: u16, class: u16, now: f64) {
+        self.deliveries.record_answer(asker, class, self.version, now);
     }
 
     /// What has left the channel by now, in the order it was ordered.
     pub fn acknowledgements(&mut self, now: f64) -> Vec<Acknowledgement> {
-        self.pull.acknowledgements(now)
+        self.deliveries.acknowledgements(now)
     }
 
     /// A stream broke: the asker holds no table here any more, and nothing waits for it.
-    pub fn leave(&mut self, asker: u16) {
+    pub fn disconnect(&mut self, asker: u16) {
         if let Some(bound) = self.bound.get_mut(usize::from(asker)) {
             if let Some(table) = bound.take() {
                 self.tables[usize::from(table)].users.remove(&asker);
             }
-            self.pull.leave(asker);
+            self.deliveries.disconnect(asker);
         }
     }
 
@@ -360,7 +368,7 @@
 }
 
 /// Server, weight before, weight after, of all lines that differ.
-fn moved(before: &Index, after: &Index) -> Vec<(Address, f64, f64)> {
+fn moved(before: &WeightedIndex, after: &WeightedIndex) -> Vec<(Address, f64, f64)> {
     let mut lines: BTreeMap<Address, (f64, f64)> = BTreeMap::new();
     before.lines().iter().for_each(|line| lines.entry(line.server).or_default().0 = line.weight);
     after.lines().iter().for_each(|line| lines.entry(line.server).or_default().1 = line.weight);
--- a/tables/src/pull.rs
+++ b/tables/src/pull.rs
@@ -13,7 +13,7 @@
 
 /// How an asker comes by its tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum AskerKind {
     /// Many hosts pull, each for itself.
     Group,
     /// One host pulls; it forgets an answer when it gets the next.
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 struct Asker {
-    kind: Kind,
+    kind: AskerKind,
     /// Of those who pull.
     until: Holds,
     /// Its messages that wait, oldest first, by number since the start.
@@ -49,7 +49,7 @@
 
 /// The book of what waits.
 #[derive(Clone, Debug)]
-pub struct Pull {
+pub struct DeliveryTracker {
     hold: f64,
     askers: Vec<Asker>,
     messages: VecDeque<Message>,
@@ -57,51 +57,54 @@
     taken: u64,
     waiting: f64,
     /// The most lines that ever waited.
-    pub most: f64,
+    pub max_pending_lines: f64,
     /// Messages ordered so far.
-    pub ordered: u64,
+    pub message_count: u64,
 }
 
-impl Pull {
+impl DeliveryTracker {
     /// `hold` is how long an answer may be in use, s. What others may have handed out before `start` is
     /// assumed to be in use as long as anything could be.
-    pub fn new(askers: &[Kind], classes: usize, hold: f64, start: f64) -> Self {
-        let asker =
-            |kind: &Kind| Asker { kind: *kind, until: vec![start + hold; classes], own: VecDeque::new() };
-        Pull {
+    pub fn new(askers: &[AskerKind], classes: usize, hold: f64, start: f64) -> Self {
+        let asker = |kind: &AskerKind| Asker {
+            kind: *kind,
+            until: vec![start + hold; classes],
+            own: VecDeque::new(),
+        };
+        DeliveryTracker {
             hold,
             askers: askers.iter().map(asker).collect(),
             messages: VecDeque::new(),
             taken: 0,
             waiting: 0.0,
-            most: 0.0,
-            ordered: 0,
+            max_pending_lines: 0.0,
+            message_count: 0,
         }
     }
 
     /// Lines of changes ordered for an asker, that `version` brings.
-    pub fn order(&mut self, asker: u16, lines: f64, number: Option<u64>, version: u64, now: f64) {
+    pub fn enqueue(&mut self, asker: u16, lines: f64, number: Option<u64>, version: u64, now: f64) {
         let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
         let open = |until: &f64| if *until > now { *until } else { f64::NEG_INFINITY };
         let until = match held.kind {
-            Kind::Stream => vec![f64::INFINITY],
+            AskerKind::Stream => vec![f64::INFINITY],
             _ => held.until.iter().map(open).collect(),
         };
         held.own.push_back(self.taken + self.messages.len() as u64);
         self.messages.push_back(Message { asker, number, version, lines, until });
-        self.ordered += 1;
+        self.message_count += 1;
         self.waiting += lines;
-        self.most = self.most.max(self.waiting);
+        self.max_pending_lines = self.max_pending_lines.max(self.waiting);
     }
 
     /// An answer of a class, of this version, goes out to an asker. Costs in proportion to what waits for
     /// this asker, whatever waits for others.
-    pub fn hand_out(&mut self, asker: u16, class: u16, version: u64, now: f64) {
+    pub fn record_answer(&mut self, asker: u16, class: u16, version: u64, now: f64) {
         let class = usize::from(class);
         let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
         let Some(until) = held.until.get_mut(class) else { return };
         *until = now + self.hold;
-        if held.kind == Kind::Host {
+        if held.kind == AskerKind::Host {
             for number in &held.own {
                 let message = &mut self.messages[(number - self.taken) as usize];
                 if message.version <= version {
@@ -111,7 +114,7 @@
         }
     }
 
-    pub fn leave(&mut self, asker: u16) {
+    pub fn disconnect(&mut self, asker: u16) {
         let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
         for number in held.own.drain(..) {
             let message = &mut self.messages[(number - self.taken) as usize];
@@ -145,12 +148,12 @@
     }
 
     /// A proxy on a stream has refused what a version brought: it has left the channel without an acknowledgement.
-    pub fn refuse(&mut self, asker: u16, version: u64) {
+    pub fn reject(&mut self, asker: u16, version: u64) {
         self.end(asker, version, false);
     }
 
     fn end(&mut self, asker: u16, version: u64, taken: bool) {
-        let Some(held) = self.askers.get(usize::from(asker)).filter(|a| a.kind == Kind::Stream) else {
+        let Some(held) = self.askers.get(usize::from(asker)).filter(|a| a.kind == AskerKind::Stream) else {
             return;
         };
         for number in &held.own {
@@ -163,7 +166,7 @@
     }
 
     /// Lines that wait, counted at each asker concerned.
-    pub fn waiting(&self) -> f64 {
+    pub fn pending_lines(&self) -> f64 {
         self.waiting
     }
 }
--- a/tables/src/versions.rs
+++ b/tables/src/versions.rs
@@ -13,7 +13,7 @@
 
 /// A table as it was from a version on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct TableVersion {
     pub version: u64,
     /// s, on the pilot's clock.
     pub at: f64,
@@ -23,29 +23,29 @@
 /// The last versions of a table, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Versions {
-    kept: VecDeque<Kept>,
+    kept: VecDeque<TableVersion>,
 }
 
 impl Versions {
-    pub fn keep(&mut self, kept: Kept, most: usize) {
+    pub fn push(&mut self, kept: TableVersion, most: usize) {
         self.kept.push_back(kept);
         while self.kept.len() > most.max(1) {
             self.kept.pop_front();
         }
     }
 
-    pub fn all(&self) -> impl DoubleEndedIterator<Item = &Kept> {
+    pub fn all(&self) -> impl DoubleEndedIterator<Item = &TableVersion> {
         self.kept.iter()
     }
 
-    pub fn find(&self, version: u64) -> Option<&Kept> {
+    pub fn find(&self, version: u64) -> Option<&TableVersion> {
         self.kept.iter().find(|kept| kept.version == version)
     }
 }
 
 /// Why a table does not go back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum FreezeError {
     NoTable,
     /// No such version, or not kept any more.
     NoVersion,
@@ -55,13 +55,13 @@
     NotFrozen,
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for FreezeError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Refusal::NoTable => "there is no such table",
-            Refusal::NoVersion => "that version is not kept",
-            Refusal::Empty => "that version had no lines",
-            Refusal::NotFrozen => "the table is not frozen",
+            FreezeError::NoTable => "there is no such table",
+            FreezeError::NoVersion => "that version is not kept",
+            FreezeError::Empty => "that version had no lines",
+            FreezeError::NotFrozen => "the table is not frozen",
         })
     }
 }
@@ -72,7 +72,7 @@
 }
 
 /// The lines of a table frozen at an old version, while the decisions want their own.
-pub fn frozen(old: &Lines, own: &Lines, is_cold: impl Fn(&Address) -> bool) -> Lines {
+pub fn frozen_lines(old: &Lines, own: &Lines, is_cold: impl Fn(&Address) -> bool) -> Lines {
     let (old, own_shares) = (shares(old), shares(own));
     let (mut cold, mut warm) = (Lines::new(), Lines::new());
     for (server, share) in old.into_iter().filter(|(_, share)| *share > 0.0) {
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -2,7 +2,10 @@
 //! every answer that was handed out.
 
 use oatlever::round::{Address, Writer};
-use oatlever_tables::{frozen, Index, Kind, Lines, News, Pull, Refusal, Spread, Tables, Unreviewed};
+use oatlever_tables::{
+    frozen_lines, AskerKind, DeliveryTracker, FreezeError, GoldenSequence, Lines, NoReview, RoundInputs,
+    Tables, WeightedIndex,
+};
 use quickcheck::{quickcheck, Arbitrary, Gen, TestResult};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,10 +60,10 @@
 
 quickcheck! {
     fn what_askers_hold_is_what_was_ordered(orders: Vec<Order>) -> bool {
-        let pull = Pull::new(&[Kind::Host; ASKERS as usize], CLASSES, HOLD, 0.0);
+        let pull = DeliveryTracker::new(&[AskerKind::Host; ASKERS as usize], CLASSES, HOLD, 0.0);
         let mut tables = Tables::new(usize::from(ASKERS), CLASSES, pull, 10);
         let (mut plain, mut seen) = (Plain::default(), Vec::new());
-        tables.open(0.0, 0, News::default());
+        tables.begin_round(0.0, 0, RoundInputs::default());
         for (n, order) in orders.iter().enumerate() {
             match *order {
                 Order::Weigh(table, n, weight) => {
@@ -91,7 +94,7 @@
                     }
                 }
                 Order::Close => {
-                    tables.close();
+                    tables.end_round();
                     // Same table and version means that nothing a front reads has changed.
                     let fresh: Vec<_> = (0..ASKERS).map(|asker| facts(&tables, asker)).collect();
                     let changed = |(old, new): (&Facts, &Facts)| match (old, new) {
@@ -103,13 +106,13 @@
                     for asker in 0..ASKERS {
                         if lines(&tables, asker) != plain.held(asker) { return false; }
                         for class in 0..CLASSES as u16 {
-                            let level = tables.held(asker, class).map(|view| view.level);
+                            let level = tables.view(asker, class).map(|view| view.level);
                             let table = plain.bound.get(&asker);
                             let wanted = table.map(|t| *plain.levels.get(&(*t, class)).unwrap_or(&1.0));
                             if level != wanted { return false; }
                         }
                     }
-                    tables.open(n as f64, n as u64, News::default());
+                    tables.begin_round(n as f64, n as u64, RoundInputs::default());
                 }
             }
         }
@@ -119,8 +122,8 @@
     /// No acknowledgement while an answer older than the order may be in use; an acknowledgement as soon as none may be,
     /// and nothing ordered earlier still waits.
     fn acknowledgements_tell_the_truth(steps: Vec<(u8, u8, u8)>) -> TestResult {
-        let kinds = [Kind::Host, Kind::Group, Kind::Host];
-        let mut pull = Pull::new(&kinds, CLASSES, HOLD, 0.0);
+        let kinds = [AskerKind::Host, AskerKind::Group, AskerKind::Host];
+        let mut pull = DeliveryTracker::new(&kinds, CLASSES, HOLD, 0.0);
         // Every answer ever handed out: asker, class, version, until. At the start anything may be held.
         let mut answers: Vec<(u16, u16, u64, f64)> = Vec::new();
         for asker in 0..3 {
@@ -133,12 +136,12 @@
             let asker = u16::from(asker) % 3;
             if what % 3 == 0 {
                 let version = orders.len() as u64 + 1;
-                pull.order(asker, 2.0, Some(version), version, now);
+                pull.enqueue(asker, 2.0, Some(version), version, now);
                 orders.push((asker, version));
             } else {
                 let (class, version) = (u16::from(what) % CLASSES as u16, orders.len() as u64);
-                pull.hand_out(asker, class, version, now);
-                if kinds[usize::from(asker)] == Kind::Host {
+                pull.record_answer(asker, class, version, now);
+                if kinds[usize::from(asker)] == AskerKind::Host {
                     answers.retain(|a| (a.0, a.1) != (asker, class));
                 }
                 answers.push((asker, class, version, now + HOLD));
@@ -151,8 +154,8 @@
             if told < wanted || !orders[..told].iter().all(left) {
                 return TestResult::error(format!("{told} told, {wanted} have left at {now}"));
             }
-            if pull.waiting() != 2.0 * (orders.len() - told) as f64 {
-                return TestResult::error(format!("{} wait", pull.waiting()));
+            if pull.pending_lines() != 2.0 * (orders.len() - told) as f64 {
+                return TestResult::error(format!("{} wait", pull.pending_lines()));
             }
         }
         TestResult::passed()
@@ -166,7 +169,7 @@
         };
         let (old, own) = (lines(&old), lines(&own));
         let cold: BTreeSet<Address> = cold.iter().map(|n| server(*n)).collect();
-        let laid = frozen(&old, &own, |server| cold.contains(server));
+        let laid = frozen_lines(&old, &own, |server| cold.contains(server));
         let part = |lines: &Lines, server: &Address| lines.get(server).map_or(0.0, |w| w / lines.values().sum::<f64>());
         let kept = |server: &Address| own.contains_key(server);
         let spared = |server: &Address| !cold.contains(server) || part(&laid, server) <= part(&own, server) + 1e-9;
@@ -178,12 +181,12 @@
     fn draws_hold_each_line_once_and_spread_by_weight(weights: Vec<u8>, most: u8) -> TestResult {
         let lines: BTreeMap<Address, f64> =
             weights.iter().take(200).enumerate().map(|(n, w)| (Address { host: [10, 0, 0, n as u8], port: 1 }, f64::from(*w))).collect();
-        let index = Index::of(lines.clone());
+        let index = WeightedIndex::new(lines.clone());
         let open: Vec<_> = lines.iter().filter(|(_, weight)| **weight > 0.0).collect();
-        let (mut spread, mut count, rounds) = (Spread::from(0.3), BTreeMap::new(), 2000);
+        let (mut spread, mut count, rounds) = (GoldenSequence::new(0.3), BTreeMap::new(), 2000);
         let mut chance = oatlever::chance::Chance::new(3);
         for _ in 0..rounds {
-            let drawn = index.draw(usize::from(most % 5) + 1, spread.step(), || chance.part());
+            let drawn = index.sample(usize::from(most % 5) + 1, spread.next_fraction(), || chance.part());
             let different: BTreeSet<_> = drawn.iter().map(|line| line.server).collect();
             let wanted = (usize::from(most % 5) + 1).min(open.len());
             if different.len() != drawn.len() || drawn.len() != wanted {
@@ -207,94 +210,102 @@
 type Facts = Option<((u16, u64), (Vec<(Address, f64)>, Vec<f64>))>;
 
 fn facts(tables: &Tables, asker: u16) -> Facts {
-    let view = tables.held(asker, 0)?;
-    let level = |class| tables.held(asker, class).map(|view| view.level);
+    let view = tables.view(asker, 0)?;
+    let level = |class| tables.view(asker, class).map(|view| view.level);
     let levels = (0..CLASSES as u16).filter_map(level).collect();
     Some(((view.table, view.version), (lines(tables, asker)?, levels)))
 }
 
 fn lines(tables: &Tables, asker: u16) -> Option<Vec<(Address, f64)>> {
-    let view = tables.held(asker, 0)?;
+    let view = tables.view(asker, 0)?;
     Some(view.index.lines().iter().map(|line| (line.server, line.weight)).collect())
 }
 
 /// A change's reason stays in reach: its round and what had come in.
 #[test]
 fn changes_say_which_round_made_them() {
-    let mut tables = Tables::new(1, 1, Pull::new(&[Kind::Host], 1, HOLD, 0.0), 2);
+    let mut tables = Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Host], 1, HOLD, 0.0), 2);
     for round in 1..=3u8 {
-        tables.open(f64::from(round), u64::from(round), News { lists: 1, ..News::default() });
+        tables.begin_round(
+            f64::from(round),
+            u64::from(round),
+            RoundInputs { lists: 1, ..RoundInputs::default() },
+        );
         tables.weigh(0, server(round), 1.0);
-        tables.close();
+        tables.end_round();
     }
-    let told: Vec<_> = tables.history.newest().map(|c| (c.round, c.news.lists, c.lines.clone())).collect();
+    let told: Vec<_> =
+        tables.history.newest_first().map(|c| (c.round, c.inputs.lists, c.lines.clone())).collect();
     assert_eq!(told, [(3, 1, vec![(server(3), 0.0, 1.0)]), (2, 1, vec![(server(2), 0.0, 1.0)])]);
 }
 
 /// What waits for a proxy that is gone waits for nobody: should it count on, the channel would look full.
 #[test]
 fn nothing_waits_for_who_left() {
-    let mut pull = Pull::new(&[Kind::Host; 2], 1, HOLD, 0.0);
-    pull.order(0, 5.0, Some(1), 1, 0.5);
-    pull.order(1, 7.0, Some(1), 1, 0.5);
-    pull.leave(0);
-    assert_eq!(pull.waiting(), 7.0);
+    let mut pull = DeliveryTracker::new(&[AskerKind::Host; 2], 1, HOLD, 0.0);
+    pull.enqueue(0, 5.0, Some(1), 1, 0.5);
+    pull.enqueue(1, 7.0, Some(1), 1, 0.5);
+    pull.disconnect(0);
+    assert_eq!(pull.pending_lines(), 7.0);
     assert_eq!(pull.acknowledgements(HOLD).len(), 1);
 }
 
 /// An ACK is an acknowledgement, a NACK is none; both have left, and what a broken stream was owed waits no more.
 #[test]
 fn streams_acknowledge_refuse_or_break() {
-    let mut pull = Pull::new(&[Kind::Stream; 3], 1, HOLD, 0.0);
+    let mut pull = DeliveryTracker::new(&[AskerKind::Stream; 3], 1, HOLD, 0.0);
     for version in 1..=2 {
-        (0..3).for_each(|asker| pull.order(asker, 2.0, Some(version), version, 1.0));
+        (0..3).for_each(|asker| pull.enqueue(asker, 2.0, Some(version), version, 1.0));
     }
     assert!(pull.acknowledgements(1e9).is_empty(), "time alone is no acknowledgement");
     pull.acknowledge(1, 1);
     assert!(pull.acknowledgements(2.0).is_empty(), "the one before has not left");
-    pull.refuse(0, 2);
-    let told = |pull: &mut Pull| -> Vec<_> {
+    pull.reject(0, 2);
+    let told = |pull: &mut DeliveryTracker| -> Vec<_> {
         pull.acknowledgements(3.0).iter().map(|r| (r.proxy, r.number)).collect()
     };
     assert_eq!(told(&mut pull), [(1, 1)]);
-    pull.leave(2);
+    pull.disconnect(2);
     assert_eq!(told(&mut pull), []);
-    assert_eq!(pull.waiting(), 2.0);
+    assert_eq!(pull.pending_lines(), 2.0);
     pull.acknowledge(1, 2);
-    assert_eq!((told(&mut pull), pull.waiting()), (vec![(1, 2)], 0.0));
+    assert_eq!((told(&mut pull), pull.pending_lines()), (vec![(1, 2)], 0.0));
 }
 
 /// A rollback while a newer change is under way: what is held in the end is the old version, under a new
 /// number, and the decisions' orders do not show until it is released. Drains do.
 #[test]
 fn a_table_goes_back_stays_and_is_released() {
-    let mut tables = Tables::new(1, 1, Pull::new(&[Kind::Stream], 1, HOLD, 0.0), 10);
+    let mut tables = Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Stream], 1, HOLD, 0.0), 10);
     let order = |tables: &mut Tables, round: u64, weights: &[(u8, f64)]| {
-        tables.open(round as f64, round, News::default());
+        tables.begin_round(round as f64, round, RoundInputs::default());
         weights.iter().for_each(|(n, weight)| tables.weigh(0, server(*n), *weight));
         tables.bind(0, 0);
         tables.mark(round, false);
-        tables.close();
+        tables.end_round();
     };
     let held = |tables: &Tables| -> Vec<(Address, f64)> { lines(tables, 0).unwrap() };
     order(&mut tables, 1, &[(1, 1.0), (2, 3.0)]);
     order(&mut tables, 2, &[(2, 1.0), (3, 2.0)]);
-    assert_eq!(tables.roll_back(0, 7, 2.5, &mut Unreviewed), Err(Refusal::NoVersion));
-    assert_eq!(tables.roll_back(9, 1, 2.5, &mut Unreviewed), Err(Refusal::NoTable));
-    assert_eq!(tables.release(0, 2.5, &mut Unreviewed), Err(Refusal::NotFrozen));
-    assert_eq!(tables.roll_back(0, 1, 2.5, &mut Unreviewed), Ok(3));
-    assert_eq!((held(&tables), tables.frozen_at(0)), (vec![(server(1), 0.25), (server(2), 0.75)], Some(1)));
-    assert_eq!(tables.pull.acknowledgements(1e9).len(), 0, "nothing was acknowledged yet");
+    assert_eq!(tables.roll_back(0, 7, 2.5, &mut NoReview), Err(FreezeError::NoVersion));
+    assert_eq!(tables.roll_back(9, 1, 2.5, &mut NoReview), Err(FreezeError::NoTable));
+    assert_eq!(tables.release(0, 2.5, &mut NoReview), Err(FreezeError::NotFrozen));
+    assert_eq!(tables.roll_back(0, 1, 2.5, &mut NoReview), Ok(3));
+    assert_eq!(
+        (held(&tables), tables.frozen_version(0)),
+        (vec![(server(1), 0.25), (server(2), 0.75)], Some(1))
+    );
+    assert_eq!(tables.deliveries.acknowledgements(1e9).len(), 0, "nothing was acknowledged yet");
     order(&mut tables, 3, &[(1, 5.0)]);
     assert_eq!(held(&tables), [(server(1), 0.25), (server(2), 0.75)]);
     // A drain goes through, and a server that is cold now gets no more than the decisions give it.
     order(&mut tables, 4, &[(1, 0.0)]);
     assert_eq!(held(&tables), [(server(2), 1.0)]);
     order(&mut tables, 5, &[(1, 1.0), (3, 8.0)]);
-    tables.spare([server(1)].into());
+    tables.set_cold([server(1)].into());
     order(&mut tables, 6, &[]);
     assert_eq!(held(&tables), [(server(1), 0.1), (server(2), 0.9)]);
-    let version = tables.release(0, 7.0, &mut Unreviewed).unwrap();
+    let version = tables.release(0, 7.0, &mut NoReview).unwrap();
     assert_eq!(held(&tables), [(server(1), 1.0), (server(2), 1.0), (server(3), 8.0)]);
     assert_eq!(tables.versions(0).unwrap().all().next_back().unwrap().version, version);
 }
--- a/xds/src/resources.rs
+++ b/xds/src/resources.rs
@@ -75,7 +75,7 @@
     /// The mode of further tries that is published: none at all for a class that must not run twice.
     fn tries(&self, class: u16, view: Option<&View>) -> u8 {
         let once = self.classes[usize::from(class)].once;
-        view.map_or(0, |view| view.tries).min(if once { 0 } else { ONCE_UNRUN })
+        view.map_or(0, |view| view.retry_mode).min(if once { 0 } else { ONCE_UNRUN })
     }
 
     /// The resource itself, written once for each version.
@@ -192,7 +192,7 @@
 
 fn endpoints_of(class: &Class, view: Option<&View>, place: &dyn Place) -> endpoint::ClusterLoadAssignment {
     let mut zones: BTreeMap<String, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
-    let (lines, all) = view.map_or((&[][..], 1.0), |view| (view.index.lines(), view.index.all()));
+    let (lines, all) = view.map_or((&[][..], 1.0), |view| (view.index.lines(), view.index.total_weight()));
     for line in lines {
         let zone = place.zone_of(&line.server).unwrap_or_default().to_string();
         let socket = core::SocketAddress {
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Bytes, Incoming};
 use oatlever::round::{Address, Writer};
 use oatlever_identity::{Grants, Keys, Node as Known, Peer};
-use oatlever_tables::{Kind as AskerKind, News, Pull, Tables, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
 use oatlever_xds::{call, methods, serve, Class, Desk, Limits, Load, Shared};
 use prost::Message;
@@ -62,10 +62,10 @@
     }
     fn depart(&self, asker: u16) {
         self.0.up.borrow_mut().push((asker, false));
-        self.0.tables.borrow_mut().leave(asker);
+        self.0.tables.borrow_mut().disconnect(asker);
     }
     fn look<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
-        see(self.0.tables.borrow().held(asker, class))
+        see(self.0.tables.borrow().view(asker, class))
     }
     fn version(&self) -> u64 {
         self.0.tables.borrow().version()
@@ -75,11 +75,11 @@
     }
     fn acknowledged(&self, asker: u16, version: u64) {
         self.0.told.borrow_mut().push((asker, version));
-        self.0.tables.borrow_mut().pull.acknowledge(asker, version);
+        self.0.tables.borrow_mut().deliveries.acknowledge(asker, version);
     }
     fn refused(&self, asker: u16, version: u64, why: &str) {
         self.0.refused.borrow_mut().push(why.to_string());
-        self.0.tables.borrow_mut().pull.refuse(asker, version);
+        self.0.tables.borrow_mut().deliveries.reject(asker, version);
     }
     fn load(&self, _: u16, loads: Vec<Load>) {
         self.0.loads.borrow_mut().extend(loads);
@@ -94,10 +94,10 @@
     pub fn order(&self, write: impl FnOnce(&mut Tables)) {
         let (mut tables, round) = (self.0.tables.borrow_mut(), self.0.rounds.get() + 1);
         self.0.rounds.set(round);
-        tables.open(self.now(), round, News::default());
+        tables.begin_round(self.now(), round, RoundInputs::default());
         write(&mut tables);
         tables.mark(round, false);
-        tables.close();
+        tables.end_round();
         drop(tables);
         self.0.changed.notify(usize::MAX);
     }
@@ -145,7 +145,7 @@
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let changed = Rc::new(Event::new());
-    let tables = Tables::new(500, 2, Pull::new(&[AskerKind::Stream; 500], 2, 1.5, 0.0), 10);
+    let tables = Tables::new(500, 2, DeliveryTracker::new(&[AskerKind::Stream; 500], 2, 1.5, 0.0), 10);
     let book = Book(Rc::new(State {
         grants,
         tables: RefCell::new(tables),
--- a/xds/tests/front/streams.rs
+++ b/xds/tests/front/streams.rs
@@ -5,7 +5,7 @@
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use hyper::body::Bytes;
 use oatlever::round::Writer;
-use oatlever_tables::Unreviewed;
+use oatlever_tables::NoReview;
 use oatlever_xds::grpc::{framed, Code};
 use oatlever_xds::{methods, Desk, Load};
 use prost::Message;
@@ -168,7 +168,7 @@
             "{}",
             acknowledgements.len()
         );
-        assert_eq!(book.0.tables.borrow().pull.waiting(), 0.0);
+        assert_eq!(book.0.tables.borrow().deliveries.pending_lines(), 0.0);
         let pushed = play.shared.counts.borrow().pushes;
         assert!(pushed <= 203, "{pushed} responses: more than one went to the slow one");
         drop(slow);
@@ -264,7 +264,10 @@
         })
         .await;
         let left = book.0.tables.borrow_mut().acknowledgements(1e9).len();
-        assert!(left >= 480 && book.0.tables.borrow().pull.waiting() == 0.0, "{left} acknowledgements");
+        assert!(
+            left >= 480 && book.0.tables.borrow().deliveries.pending_lines() == 0.0,
+            "{left} acknowledgements"
+        );
         drop(all);
     });
 }
@@ -344,13 +347,13 @@
 #[test]
 fn a_rollback_overtakes_nothing() {
     play(|play| async move {
-        play.book.0.tables.borrow_mut().keep_versions(10);
+        play.book.0.tables.borrow_mut().set_max_versions(10);
         let mut call = Call::discover(&play, "relay-0", &endpoints(), &["search"]).await;
         let first = lines(&decode(&call.take(&["search"]).await));
         play.book.order(|tables| tables.weigh(0, server(0), 9.0));
         let newer = call.next().await;
         assert_ne!(lines(&decode(&newer)), first);
-        let back = play.book.0.tables.borrow_mut().roll_back(0, 1, play.book.now(), &mut Unreviewed).unwrap();
+        let back = play.book.0.tables.borrow_mut().roll_back(0, 1, play.book.now(), &mut NoReview).unwrap();
         play.book.0.changed.notify(usize::MAX);
         play.book.order(|tables| tables.weigh(0, server(1), 8.0));
         call.sender.send(request("", &newer.type_url, &["search"], &newer.nonce)).await.unwrap();
@@ -361,7 +364,7 @@
             })
             .await;
         let mut tables = play.book.0.tables.borrow_mut();
-        assert_eq!((tables.acknowledgements(1e9).len(), tables.pull.waiting()), (3, 0.0));
+        assert_eq!((tables.acknowledgements(1e9).len(), tables.deliveries.pending_lines()), (3, 0.0));
     });
 }
 
@@ -445,7 +448,7 @@
         assert!(book.0.up.borrow().iter().all(|(asker, up)| *up || asker % 2 == 1));
         let mut tables = book.0.tables.borrow_mut();
         assert!(tables.acknowledgements(1e9).iter().all(|acknowledgement| acknowledgement.proxy % 2 == 0));
-        assert_eq!(tables.pull.waiting(), 0.0);
+        assert_eq!(tables.deliveries.pending_lines(), 0.0);
         drop((slow, quick));
     });
 }
