--- a/askers/src/cookies.rs
+++ b/askers/src/cookies.rs
@@ -1,31 +1,34 @@
-//! DNS cookies (RFC 7873) in the interoperable form of RFC 9018: version, reserved, time, SipHash-2-4.
+//! DNS cookies (RFC 7873) in the interoperable format of RFC 9018: version, reserved, timestamp, SipHash-2-4.
 //!
-//! Only this server checks what it made, so the time is seconds on its own clock, which no step of the
-//! wall's moves.
+//! Cookies are verified only by the server that issued them, so timestamps are seconds on its own monotonic
+//! clock and are not affected by changes of the system time.
 
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 use std::net::IpAddr;
 
 /// Bytes of a client cookie, and of the server cookie that follows it (RFC 9018).
-const CLIENT: usize = 8;
-const SERVER: usize = 16;
-/// s; a cookie is good for an hour (RFC 9018, section 4.3).
-const GOOD_FOR: u32 = 3600;
-/// s; one older than this is answered with a new one (RFC 9018, section 4.3).
-const RENEWED: u32 = 1800;
+const CLIENT_LEN: usize = 8;
+const SERVER_LEN: usize = 16;
+/// Version 1 and three reserved bytes, at the start of a server cookie.
+const VERSION_AND_RESERVED: [u8; 4] = [1, 0, 0, 0];
+/// Seconds for which a cookie is valid (RFC 9018, section 4.3).
+const MAX_AGE: u32 = 3600;
+/// Age in seconds past which a valid cookie is replaced by a new one (RFC 9018, section 4.3).
+const RENEWAL_AGE: u32 = 1800;
 
-/// What a cookie option proves about its sender.
+/// The result of verifying a cookie option.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CookieStatus {
-    /// Not a cookie at all (RFC 7873, section 5.2.2): its length is wrong.
+    /// The option's length is invalid (RFC 7873, section 5.2.2).
     Malformed,
-    /// The sender may be anybody; this is the option to answer with.
+    /// The source address may be forged. Holds the option to answer with.
     Unverified(Vec<u8>),
-    /// The sender gets what is sent to its address; this is the option to answer with.
+    /// The client receives what is sent to its source address. Holds the option to answer with.
     Verified(Vec<u8>),
 }
 
+/// Issues and verifies cookies with a secret key.
 #[derive(Clone)]
 pub struct Cookies {
     key: [u8; 16],
@@ -36,9 +39,9 @@
         Cookies { key }
     }
 
-    fn make(&self, client: &[u8], source: IpAddr, time: u32) -> Vec<u8> {
+    fn issue(&self, client: &[u8], source: IpAddr, time: u32) -> Vec<u8> {
         let mut cookie = client.to_vec();
-        cookie.extend([1, 0, 0, 0]);
+        cookie.extend(VERSION_AND_RESERVED);
         cookie.extend(time.to_be_bytes());
         let mut hasher = SipHasher24::new_with_key(&self.key);
         hasher.write(&cookie);
@@ -50,22 +53,22 @@
         cookie
     }
 
-    /// Judges the data of a cookie option from a source, `now` seconds after some fixed moment.
+    /// Verifies the data of a cookie option sent from `source`, `now` seconds after a fixed point in time.
     pub fn verify(&self, data: &[u8], source: IpAddr, now: f64) -> CookieStatus {
         let (time, length) = (now as u32, data.len());
-        if length != CLIENT && !(CLIENT + 8..=CLIENT + 32).contains(&length) {
+        if length != CLIENT_LEN && !(CLIENT_LEN + 8..=CLIENT_LEN + 32).contains(&length) {
             return CookieStatus::Malformed;
         }
-        let client = &data[..CLIENT];
-        let fresh = || self.make(client, source, time);
-        if length != CLIENT + SERVER || data[CLIENT..CLIENT + 4] != [1, 0, 0, 0] {
-            return CookieStatus::Unverified(fresh());
+        let client = &data[..CLIENT_LEN];
+        let new_cookie = || self.issue(client, source, time);
+        if length != CLIENT_LEN + SERVER_LEN || data[CLIENT_LEN..CLIENT_LEN + 4] != VERSION_AND_RESERVED {
+            return CookieStatus::Unverified(new_cookie());
         }
-        let made = u32::from_be_bytes([data[12], data[13], data[14], data[15]]);
-        let age = time.wrapping_sub(made);
-        if age > GOOD_FOR || self.make(client, source, made) != data {
-            return CookieStatus::Unverified(fresh());
+        let issued_at = u32::from_be_bytes([data[12], data[13], data[14], data[15]]);
+        let age = time.wrapping_sub(issued_at);
+        if age > MAX_AGE || self.issue(client, source, issued_at) != data {
+            return CookieStatus::Unverified(new_cookie());
         }
-        CookieStatus::Verified(if age > RENEWED { fresh() } else { data.to_vec() })
+        CookieStatus::Verified(if age > RENEWAL_AGE { new_cookie() } else { data.to_vec() })
     }
 }
--- a/askers/src/lib.rs
+++ b/askers/src/lib.rs
@@ -1,6 +1,6 @@
-//! Who asks, whether it is still there, how often it may ask, and whether its address is proven.
+//! Identifies askers by address, tracks whether they are up, limits their rate and verifies DNS cookies.
 //!
-//! No sockets and no clocks: addresses and times come in as arguments, times in seconds.
+//! Performs no I/O and reads no clock: addresses and times are passed in as arguments, times in seconds.
 
 mod cookies;
 mod limits;
