--- a/dns/src/lib.rs
+++ b/dns/src/lib.rs
@@ -1,11 +1,12 @@
-//! The DNS front: answers with weights, read from the tables that orders add up to.
+//! Authoritative DNS server that answers with weights from the routing tables.
 //!
-//! `names` says what a name stands for, `front` turns one question into one answer, `prepared` keeps
-//! answers encoded between changes, `server` holds the sockets. Nothing here decides on routing: weights
-//! come from a [`Desk`], limits and proofs from the askers' package, figures from the settings.
+//! `names` classifies query names, `front` builds a response to a query, `prepared` caches encoded responses
+//! until their table changes, `server` runs the UDP and TCP sockets. No routing decisions are made here:
+//! weights come from a [`Backend`], rate limits and cookies from the `askers` crate, parameters from the
+//! settings.
 //!
-//! Published forms: RFC 1035, 2308 (negative answers), 2782 (SRV), 6891 (EDNS), 7766 (TCP), 7871 (client
-//! subnet), 7873 and 9018 (cookies), 8482 (ANY).
+//! Implements RFC 1035, 2308 (negative answers), 2782 (SRV), 6891 (EDNS), 7766 (TCP), 7871 (client subnet),
+//! 7873 and 9018 (cookies), 8482 (ANY).
 
 mod front;
 mod names;
--- a/dns/src/server.rs
+++ b/dns/src/server.rs
@@ -1,4 +1,4 @@
-//! The sockets: UDP, and TCP by RFC 7766.
+//! DNS over UDP, and over TCP by RFC 7766.
 
 use crate::front::Transport;
 use async_executor::LocalExecutor;
@@ -11,161 +11,169 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Packets answered before others on the executor have their turn.
-const TURN: usize = 32;
+/// Packets answered before the task yields to others on the executor.
+const PACKETS_PER_YIELD: usize = 32;
 
-/// Who answers.
+/// Answers DNS messages.
 pub trait Handler {
+    /// The response to a message; `None` if it gets none.
     fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>>;
 }
 
+/// Limits on TCP connections.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpLimits {
     pub max_connections: usize,
     pub max_per_source: usize,
-    /// s; a connection that brings no whole question, or takes no answer, for so long is closed.
+    /// Seconds after which a connection is closed that has not sent a complete query or has not taken an answer.
     pub idle_timeout: f64,
 }
 
-/// Answers for ever. Errors: the socket itself fails, not single packets.
+/// Serves UDP until the socket fails; errors of single packets are ignored.
 pub async fn serve_udp(socket: UdpSocket, handler: Rc<impl Handler>) -> io::Result<()> {
     let socket = Async::<UdpSocket>::try_from(socket)?;
     let mut packet = vec![0; usize::from(u16::MAX)];
-    let mut turn = 0;
+    let mut since_yield = 0;
     loop {
         let (length, source) = match socket.recv_from(&mut packet).await {
-            Ok(got) => got,
-            // An earlier answer found nobody there: no trouble of ours.
+            Ok(received) => received,
+            // An earlier response met a closed port (ICMP port unreachable): not an error of this socket.
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => continue,
             Err(e) => return Err(e),
         };
         if let Some(answer) = handler.answer(&packet[..length], source, Transport::Udp) {
-            // What the network does not take is lost, as over UDP anything may be: the client asks again.
+            // A response that cannot be sent is lost like any UDP packet; the client retries.
             let _ = socket.send_to(&answer, source).await;
         }
-        turn += 1;
-        if turn == TURN {
-            turn = 0;
+        since_yield += 1;
+        if since_yield == PACKETS_PER_YIELD {
+            since_yield = 0;
             future::yield_now().await;
         }
     }
 }
 
-/// Who is let in over TCP, and whether answers are still under way.
+/// Limits TCP connections and counts answers being written, for a graceful shutdown.
 pub struct TcpConnections {
     limits: TcpLimits,
+    /// Open connections by source address.
     open: RefCell<HashMap<IpAddr, usize>>,
-    in_hand: Cell<usize>,
+    pending_answers: Cell<usize>,
     closing: Cell<bool>,
 }
 
-/// A connection, while it lives.
-struct Seat {
-    gate: Rc<TcpConnections>,
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard {
+    connections: Rc<TcpConnections>,
     source: IpAddr,
 }
 
 impl TcpConnections {
     pub fn new(limits: TcpLimits) -> Rc<Self> {
-        let (open, in_hand, closing) = Default::default();
-        Rc::new(TcpConnections { limits, open, in_hand, closing })
+        let (open, pending_answers, closing) = Default::default();
+        Rc::new(TcpConnections { limits, open, pending_answers, closing })
     }
 
-    fn enter(self: &Rc<Self>, source: IpAddr) -> Option<Seat> {
+    /// Registers a connection; `None` if a limit is reached or the server is closing.
+    fn admit(self: &Rc<Self>, source: IpAddr) -> Option<ConnectionGuard> {
         let mut open = self.open.borrow_mut();
-        let all: usize = open.values().sum();
-        let own = open.get(&source).copied().unwrap_or(0);
-        if self.closing.get() || all >= self.limits.max_connections || own >= self.limits.max_per_source {
+        let total: usize = open.values().sum();
+        let from_source = open.get(&source).copied().unwrap_or(0);
+        let limits = &self.limits;
+        if self.closing.get() || total >= limits.max_connections || from_source >= limits.max_per_source {
             return None;
         }
-        open.insert(source, own + 1);
-        Some(Seat { gate: self.clone(), source })
+        open.insert(source, from_source + 1);
+        Some(ConnectionGuard { connections: self.clone(), source })
     }
 
-    /// No further questions are taken; those in hand are answered.
+    /// Stops accepting connections and queries; answers being written are completed.
     pub fn close(&self) {
         self.closing.set(true);
     }
 
-    /// Questions taken and not yet answered.
+    /// Number of answers being written.
     pub fn pending_answers(&self) -> usize {
-        self.in_hand.get()
+        self.pending_answers.get()
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.open.borrow().values().sum()
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let mut open = self.gate.open.borrow_mut();
+        let mut open = self.connections.open.borrow_mut();
         match open.get_mut(&self.source) {
-            Some(own) if *own > 1 => *own -= 1,
+            Some(count) if *count > 1 => *count -= 1,
             _ => drop(open.remove(&self.source)),
         }
     }
 }
 
-/// Accepts for ever; connections past the limits are closed at once.
+/// Accepts connections without end; those beyond the limits are closed at once.
 pub async fn serve_tcp<'e>(
     listener: TcpListener,
     handler: Rc<impl Handler + 'e>,
-    gate: Rc<TcpConnections>,
+    connections: Rc<TcpConnections>,
     executor: Rc<LocalExecutor<'e>>,
 ) -> io::Result<()> {
     let listener = Async::<TcpListener>::try_from(listener)?;
     loop {
         let (stream, source) = match listener.accept().await {
-            Ok(got) => got,
-            // Out of descriptors, or gone before it was accepted: wait a little rather than spin.
+            Ok(accepted) => accepted,
+            // Out of file descriptors, or reset before it was accepted: wait briefly instead of spinning.
             Err(_) => {
                 Timer::after(Duration::from_millis(10)).await;
                 continue;
             }
         };
-        let Some(seat) = gate.enter(source.ip()) else { continue };
+        let Some(guard) = connections.admit(source.ip()) else { continue };
         let handler = handler.clone();
-        let talk = async move {
-            // However it ends, the connection is closed and nobody else is concerned.
-            let _ = converse(stream, source, &*handler, &seat.gate).await;
+        let connection = async move {
+            // Errors end only this connection.
+            let _ = serve_connection(stream, source, &*handler, &guard.connections).await;
         };
-        executor.spawn(talk).detach();
+        executor.spawn(connection).detach();
     }
 }
 
-/// Work, or giving it up at a moment; a peer that trickles bytes wins no time by it.
-async fn within<T>(until: Instant, work: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
-    let late = async {
-        Timer::at(until).await;
+/// Runs `work` up to an absolute deadline, so that a peer sending single bytes cannot extend it.
+async fn with_deadline<T>(
+    deadline: Instant,
+    work: impl std::future::Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    let timeout = async {
+        Timer::at(deadline).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
-async fn converse(
+async fn serve_connection(
     mut stream: Async<TcpStream>,
     source: SocketAddr,
     handler: &impl Handler,
-    gate: &TcpConnections,
+    connections: &TcpConnections,
 ) -> io::Result<()> {
-    let idle = Duration::from_secs_f64(gate.limits.idle_timeout);
+    let idle_timeout = Duration::from_secs_f64(connections.limits.idle_timeout);
     let mut packet = Vec::new();
-    while !gate.closing.get() {
-        let until = Instant::now() + idle;
+    while !connections.closing.get() {
+        let deadline = Instant::now() + idle_timeout;
         let mut length = [0; 2];
-        within(until, stream.read_exact(&mut length)).await?;
+        with_deadline(deadline, stream.read_exact(&mut length)).await?;
         packet.resize(usize::from(u16::from_be_bytes(length)), 0);
-        within(until, stream.read_exact(&mut packet)).await?;
+        with_deadline(deadline, stream.read_exact(&mut packet)).await?;
         let Some(answer) = handler.answer(&packet, source, Transport::Tcp) else { return Ok(()) };
         let mut framed = Vec::with_capacity(answer.len() + 2);
         framed.extend((answer.len() as u16).to_be_bytes());
         framed.extend(answer);
-        gate.in_hand.set(gate.in_hand.get() + 1);
-        let written = within(Instant::now() + idle, stream.write_all(&framed)).await;
-        gate.in_hand.set(gate.in_hand.get() - 1);
-        written?;
+        connections.pending_answers.set(connections.pending_answers.get() + 1);
+        let result = with_deadline(Instant::now() + idle_timeout, stream.write_all(&framed)).await;
+        connections.pending_answers.set(connections.pending_answers.get() - 1);
+        result?;
         future::yield_now().await;
     }
     Ok(())
