--- a/handout/src/choice.rs
+++ b/handout/src/choice.rs
@@ -1,4 +1,4 @@
-//! The addresses of an answer.
+//! Selects the addresses of an answer.
 
 use crate::hosts::HeavyHitters;
 use crate::ledger::Ledger;
@@ -7,80 +7,93 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
-/// Times the mean of those who are known that somebody new may be worth: most are near it, few are far above.
-const NEWCOMER: f64 = 2.0;
+/// The assumed rate of an unknown client as a multiple of the mean of the known ones: most are near the mean, few
+/// are far above it.
+const UNKNOWN_RATE_FACTOR: f64 = 2.0;
 
-/// Draws that may hit what does not fit, until all lines are walked through.
-const TRIES: usize = 8;
+/// Random samples that may hit an unsuitable line before all lines are searched.
+const SAMPLE_TRIES: usize = 8;
 
-/// Who asks for what.
+/// A client host and the class it queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Client {
     pub host: Ipv4Addr,
     pub class: u16,
-    /// Queries a second of all that it is counted among.
+    /// Queries per second of the whole asker that the client belongs to.
     pub group_rate: f64,
 }
 
-/// How long answers live, s.
+/// Lifetimes of answers, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lifetimes {
     pub normal: u32,
-    /// Where a cold server is near.
+    /// For tables that contain a cold server.
     pub near_cold: u32,
-    /// Answers may be in use so much longer.
+    /// How long clients may use an answer past its lifetime.
     pub overstay: f64,
 }
 
-/// An answer: servers, the first first, and its lifetime in seconds.
+/// The servers of an answer, in order, and its lifetime in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     pub servers: Vec<Address>,
     pub lifetime: u32,
 }
 
-/// What answers did, since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Times a cold server was passed over.
+    /// Times a cold server was left out of an answer for lack of budget.
     pub cold_skipped: u64,
-    /// Answers of nothing but cold servers without room.
+    /// Answers with a cold server without budget, for lack of any other server.
     pub cold_only: u64,
 }
 
+/// Selects the addresses of answers by the weights of a table and the budgets of cold servers.
 pub struct AddressSelector {
     pub ledger: Ledger,
     pub rates: HeavyHitters,
-    spreads: HashMap<(u16, u16), GoldenSequence>,
-    /// Queries a second that each cold server may be brought by answers.
-    cold: BTreeMap<Address, f64>,
-    /// By table: whether its lines, as of a version, name a cold server; forgotten when the cold ones change.
-    near: HashMap<u16, (u64, bool)>,
-    lives: Lifetimes,
-    /// s; until then somebody else's answers may be out there.
+    /// By table and class: where the next answer's first server is sampled.
+    sequences: HashMap<(u16, u16), GoldenSequence>,
+    /// Budget of each cold server: queries per second that answers may bring it.
+    budgets: BTreeMap<Address, f64>,
+    /// By table: a version, and whether that version contains a cold server. Cleared when the budgets change.
+    contains_cold: HashMap<u16, (u64, bool)>,
+    lifetimes: Lifetimes,
+    /// Seconds; until then answers of a previous instance may be in use.
     unknown_until: f64,
-    /// Nothing is counted, and no cold server passed over.
-    plain: bool,
+    /// Whether leases are tracked and budgets observed.
+    uses_ledger: bool,
     pub counters: Counters,
 }
 
 impl AddressSelector {
-    /// Remembers so many askers; the key is the ledger's. What others handed out before `start` is assumed to be in
-    /// use as long as anything could be: cold servers get nothing until then.
-    pub fn new(lives: Lifetimes, most: usize, key: (u64, u64), start: f64) -> Self {
-        let (spreads, cold, near, counters) = Default::default();
-        let unknown_until = start + f64::from(lives.normal) + lives.overstay;
-        let (ledger, rates) = (Ledger::new(most, key), HeavyHitters::new(most));
-        AddressSelector { ledger, rates, spreads, cold, near, lives, unknown_until, plain: false, counters }
+    /// Tracks at most `max_clients` clients; `key` is the ledger's hash key. Answers given before `start` by another
+    /// instance are assumed to be in use for the longest possible time: cold servers are not selected until then.
+    pub fn new(lifetimes: Lifetimes, max_clients: usize, key: (u64, u64), start: f64) -> Self {
+        let (sequences, budgets, contains_cold, counters) = Default::default();
+        let unknown_until = start + f64::from(lifetimes.normal) + lifetimes.overstay;
+        let (ledger, rates) = (Ledger::new(max_clients, key), HeavyHitters::new(max_clients));
+        AddressSelector {
+            ledger,
+            rates,
+            sequences,
+            budgets,
+            contains_cold,
+            lifetimes,
+            unknown_until,
+            uses_ledger: true,
+            counters,
+        }
     }
 
-    /// Without a ledger: draws by weight, and nothing else.
-    pub fn without_ledger(lives: Lifetimes) -> Self {
-        AddressSelector { plain: true, ..AddressSelector::new(lives, 1, (0, 0), 0.0) }
+    /// Selects by weight alone, without a ledger.
+    pub fn without_ledger(lifetimes: Lifetimes) -> Self {
+        AddressSelector { uses_ledger: false, ..AddressSelector::new(lifetimes, 1, (0, 0), 0.0) }
     }
 
-    /// So many queries of a class in so many seconds came to a server from an address, all since a time. It may go
-    /// by an answer that has run out.
+    /// Records that a client sent a server `queries` of a class within `span` seconds, all since the time `since`.
+    /// It may be using an expired answer.
     pub fn record_queries(
         &mut self,
         server: Address,
@@ -90,164 +103,175 @@
         since: f64,
         now: f64,
     ) {
-        if self.plain || queries <= 0.0 || span <= 0.0 {
+        if !self.uses_ledger || queries <= 0.0 || span <= 0.0 {
             return;
         }
         self.rates.add(host, class, queries, now);
-        let worth = queries / span;
-        self.ledger.record_use((host, class), &server, worth, since, now);
+        let rate = queries / span;
+        self.ledger.record_use((host, class), &server, rate, since, now);
     }
 
-    /// The cold servers of now, and what the tables give each of those who ask here, queries a second.
-    pub fn set_cold_budgets(&mut self, cold: BTreeMap<Address, f64>, now: f64) {
-        self.cold = cold;
-        self.near.clear();
+    /// Sets the cold servers and their budgets: the queries per second that the tables give each of them from the
+    /// clients that query here.
+    pub fn set_cold_budgets(&mut self, budgets: BTreeMap<Address, f64>, now: f64) {
+        self.budgets = budgets;
+        self.contains_cold.clear();
         self.ledger.expire(now);
     }
 
-    /// Queries a second that a cold server may be brought; none for a warm one.
+    /// The budget of a cold server in queries per second; `None` for a warm one.
     pub fn budget(&self, server: &Address) -> Option<f64> {
-        self.cold.get(server).copied()
+        self.budgets.get(server).copied()
     }
 
-    /// Queries a second that an asker brings at most, as far as anybody knows.
-    fn worth(&self, who: Client, now: f64) -> f64 {
-        if let Some(own) = self.rates.estimate(who.host, who.class, now) {
-            return own;
+    /// Upper estimate of a client's queries per second.
+    fn client_rate(&self, client: Client, now: f64) -> f64 {
+        if let Some(rate) = self.rates.estimate(client.host, client.class, now) {
+            return rate;
         }
-        // Before anybody is known, one may be all of them.
-        let unsure =
-            if self.rates.tracked() == 0 { who.group_rate } else { NEWCOMER * self.rates.mean_rate(now) };
-        self.rates.untracked_bound(now).unwrap_or(0.0).max(unsure)
+        // While no client is known, one client may be the whole asker.
+        let assumed = if self.rates.tracked() == 0 {
+            client.group_rate
+        } else {
+            UNKNOWN_RATE_FACTOR * self.rates.mean_rate(now)
+        };
+        self.rates.untracked_bound(now).unwrap_or(0.0).max(assumed)
     }
 
-    /// What a cold server has left for an asker of this worth; none for a warm one.
-    fn left(&mut self, server: &Address, who: Client, worth: f64, now: f64) -> Option<f64> {
-        let budget = *self.cold.get(server)?;
+    /// The budget that remains at a cold server after adding a client with this rate; `None` for a warm server.
+    fn remaining_budget(&mut self, server: &Address, client: Client, rate: f64, now: f64) -> Option<f64> {
+        let budget = *self.budgets.get(server)?;
         if now < self.unknown_until {
             return Some(f64::NEG_INFINITY);
         }
-        let own = self.ledger.leased_to(who.host, who.class, server, now);
-        Some(budget - (self.ledger.outstanding(server, now) - own).max(0.0) - worth)
+        let own = self.ledger.leased_to(client.host, client.class, server, now);
+        Some(budget - (self.ledger.outstanding(server, now) - own).max(0.0) - rate)
+    }
+
+    /// Whether a client with this rate may be given the server.
+    fn fits_budget(&mut self, server: &Address, client: Client, rate: f64, now: f64) -> bool {
+        self.remaining_budget(server, client, rate, now).is_none_or(|remaining| remaining >= 0.0)
     }
 
-    /// Up to `most` addresses from what an asker may use; what is handed out is noted. None where the table has no
-    /// line.
+    /// Selects up to `max` addresses from a client's table and records them in the ledger. `None` if the table is
+    /// empty.
     pub fn answer(
         &mut self,
         view: &View,
-        who: Client,
-        most: usize,
+        client: Client,
+        max: usize,
         zone_of: impl Fn(&Address) -> Option<u16>,
         now: f64,
-        mut chance: impl FnMut() -> f64,
+        mut random: impl FnMut() -> f64,
     ) -> Option<Answer> {
         if view.index.is_empty() {
             return None;
         }
-        let spread =
-            self.spreads.entry((view.table, who.class)).or_insert_with(|| GoldenSequence::new(chance()));
-        let part = spread.next_fraction();
-        let mut drawn = view.index.sample(most, part, &mut chance);
-        if self.plain {
-            let servers = drawn.iter().map(|line| line.server).collect();
-            return Some(Answer { servers, lifetime: self.lives.normal });
+        let sequence = self.sequences.entry((view.table, client.class));
+        let fraction = sequence.or_insert_with(|| GoldenSequence::new(random())).next_fraction();
+        let mut selected = view.index.sample(max, fraction, &mut random);
+        if !self.uses_ledger {
+            let servers = selected.iter().map(|line| line.server).collect();
+            return Some(Answer { servers, lifetime: self.lifetimes.normal });
         }
-        let worth = self.worth(who, now);
-        let is_near = self.is_near(view);
-        if is_near {
-            self.pass_over(&mut drawn, view.index, who, worth, now, &mut chance);
+        let rate = self.client_rate(client, now);
+        let near_cold = self.contains_cold(view);
+        if near_cold {
+            self.replace_over_budget(&mut selected, view.index, client, rate, now, &mut random);
         }
-        self.reach_two_zones(&mut drawn, view.index, zone_of, &mut chance);
-        let lifetime = if is_near { self.lives.near_cold } else { self.lives.normal };
-        let ends = (now + f64::from(lifetime), self.lives.overstay);
-        let servers: Vec<Address> = drawn.iter().map(|line| line.server).collect();
-        self.ledger.record_answer((who.host, who.class), worth, servers.iter().copied(), ends, now);
+        self.cover_two_zones(&mut selected, view.index, zone_of, &mut random);
+        let lifetime = if near_cold { self.lifetimes.near_cold } else { self.lifetimes.normal };
+        let end = (now + f64::from(lifetime), self.lifetimes.overstay);
+        let servers: Vec<Address> = selected.iter().map(|line| line.server).collect();
+        self.ledger.record_answer((client.host, client.class), rate, servers.iter().copied(), end, now);
         Some(Answer { servers, lifetime })
     }
 
-    /// Whether a table names a cold server.
-    fn is_near(&mut self, view: &View) -> bool {
-        if self.cold.is_empty() {
+    /// Whether a table contains a cold server.
+    fn contains_cold(&mut self, view: &View) -> bool {
+        if self.budgets.is_empty() {
             return false;
         }
-        if let Some((_, near)) = self.near.get(&view.table).filter(|(version, _)| *version == view.version) {
-            return *near;
+        let cached = self.contains_cold.get(&view.table).filter(|(version, _)| *version == view.version);
+        if let Some((_, contains_cold)) = cached {
+            return *contains_cold;
         }
-        let near = view.index.lines().iter().any(|line| self.cold.contains_key(&line.server));
-        self.near.insert(view.table, (view.version, near));
-        near
+        let contains_cold = view.index.lines().iter().any(|line| self.budgets.contains_key(&line.server));
+        self.contains_cold.insert(view.table, (view.version, contains_cold));
+        contains_cold
     }
 
-    /// Puts others in the place of cold servers that have no room for this asker.
-    fn pass_over(
+    /// Replaces cold servers whose budget this client would exceed.
+    fn replace_over_budget(
         &mut self,
-        drawn: &mut Vec<Line>,
+        selected: &mut Vec<Line>,
         index: &WeightedIndex,
-        who: Client,
-        worth: f64,
+        client: Client,
+        rate: f64,
         now: f64,
-        chance: &mut impl FnMut() -> f64,
+        random: &mut impl FnMut() -> f64,
     ) {
-        let most = drawn.len();
-        let before = drawn.clone();
-        drawn.retain(|line| self.left(&line.server, who, worth, now).is_none_or(|left| left >= 0.0));
-        self.counters.cold_skipped += (most - drawn.len()) as u64;
-        while drawn.len() < most {
-            // Those that were drawn before had no room, or are there already.
-            let mut fits = |line: &Line, drawn: &[Line]| {
-                let seen = before.iter().chain(drawn).any(|other| other.server == line.server);
-                !seen && self.left(&line.server, who, worth, now).is_none_or(|left| left >= 0.0)
+        let count = selected.len();
+        let sampled = selected.clone();
+        selected.retain(|line| self.fits_budget(&line.server, client, rate, now));
+        self.counters.cold_skipped += (count - selected.len()) as u64;
+        while selected.len() < count {
+            // Lines that were sampled before are over budget or selected already.
+            let mut is_candidate = |line: &Line, selected: &[Line]| {
+                let seen = sampled.iter().chain(selected).any(|other| other.server == line.server);
+                !seen && self.fits_budget(&line.server, client, rate, now)
             };
-            let mut found = None;
-            for _ in 0..TRIES {
-                found = index.at_fraction(chance()).copied().filter(|line| fits(line, drawn));
-                if found.is_some() {
+            let mut replacement = None;
+            for _ in 0..SAMPLE_TRIES {
+                let line = index.at_fraction(random()).copied();
+                replacement = line.filter(|line| is_candidate(line, selected));
+                if replacement.is_some() {
                     break;
                 }
             }
-            if found.is_none() {
-                let open = index.lines().iter().filter(|line| fits(line, drawn));
-                let open: Vec<(Address, f64)> = open.map(|line| (line.server, line.weight)).collect();
-                found = WeightedIndex::new(open).at_fraction(chance()).copied();
+            if replacement.is_none() {
+                let candidates = index.lines().iter().filter(|line| is_candidate(line, selected));
+                let candidates: Vec<(Address, f64)> =
+                    candidates.map(|line| (line.server, line.weight)).collect();
+                replacement = WeightedIndex::new(candidates).at_fraction(random()).copied();
             }
-            let Some(next) = found else { break };
-            drawn.push(next);
+            let Some(replacement) = replacement else { break };
+            selected.push(replacement);
         }
-        if drawn.is_empty() {
-            // Nobody is to be without an address: the one with the most room.
+        if selected.is_empty() {
+            // An answer always has an address: use the cold server with the most budget left.
             self.counters.cold_only += 1;
             let mut best: Option<(f64, Line)> = None;
             for line in index.lines() {
-                let held = self.ledger.outstanding(&line.server, now);
-                let left = self.cold.get(&line.server).copied().unwrap_or(0.0) - held;
-                if best.is_none_or(|(most, _)| left > most) {
-                    best = Some((left, *line));
+                let outstanding = self.ledger.outstanding(&line.server, now);
+                let remaining = self.budgets.get(&line.server).copied().unwrap_or(0.0) - outstanding;
+                if best.is_none_or(|(most, _)| remaining > most) {
+                    best = Some((remaining, *line));
                 }
             }
-            drawn.extend(best.map(|(_, line)| line));
+            selected.extend(best.map(|(_, line)| line));
         }
     }
 
-    /// Where the table goes to more than one zone, so does the answer, if it has room for two: a zone may be lost
-    /// while it lives.
-    fn reach_two_zones(
+    /// Makes an answer of several servers cover a second zone if the table does: a zone may fail during the answer's
+    /// lifetime.
+    fn cover_two_zones(
         &self,
-        drawn: &mut [Line],
+        selected: &mut [Line],
         index: &WeightedIndex,
         zone_of: impl Fn(&Address) -> Option<u16>,
-        chance: &mut impl FnMut() -> f64,
+        random: &mut impl FnMut() -> f64,
     ) {
-        let zone = drawn.first().map(|line| zone_of(&line.server));
-        let Some(last) = drawn.len().checked_sub(1).filter(|last| *last > 0) else { return };
-        if drawn.iter().any(|line| Some(zone_of(&line.server)) != zone) {
+        let zone = selected.first().map(|line| zone_of(&line.server));
+        let Some(last) = selected.len().checked_sub(1).filter(|last| *last > 0) else { return };
+        if selected.iter().any(|line| Some(zone_of(&line.server)) != zone) {
             return;
         }
-        let away =
-            |line: &&Line| Some(zone_of(&line.server)) != zone && !self.cold.contains_key(&line.server);
-        let others = index.lines().iter().filter(away).map(|line| (line.server, line.weight));
-        if let Some(other) = WeightedIndex::new(others).at_fraction(chance()) {
-            drawn[last] = *other;
+        let is_warm_elsewhere =
+            |line: &&Line| Some(zone_of(&line.server)) != zone && !self.budgets.contains_key(&line.server);
+        let others = index.lines().iter().filter(is_warm_elsewhere).map(|line| (line.server, line.weight));
+        if let Some(other) = WeightedIndex::new(others).at_fraction(random()) {
+            selected[last] = *other;
         }
     }
 }
--- a/handout/src/holds.rs
+++ b/handout/src/holds.rs
@@ -1,81 +1,83 @@
-//! Queries a second that holders bring a server, by when their holds run out.
+//! Sums of query rates by expiry time.
 //!
-//! A wheel of levels whose slots are twice as wide on each: a hold goes to the finest level that reaches as far as
-//! it lasts, at the end of its slot. Nothing is moved from level to level. A hold counts longer than it lasts by
-//! a seventh of that at most, or an eighth of a second, and never shorter.
+//! A hierarchical timing wheel, the slots of each level twice as wide as those of the level below. A lease goes to
+//! the finest level that reaches its expiry, which is rounded up to the end of its slot; nothing cascades between
+//! levels. A lease is therefore counted too long by at most a seventh of its duration, or an eighth of a second,
+//! and never too short.
 
 use std::collections::VecDeque;
 
-/// s; slots of the finest level.
-const FINEST: f64 = 0.125;
-/// Slots that a level reaches over. A hold that is past the next finer level's reach is at least half of this away.
+/// Slot width of the finest level, in seconds.
+const FINEST_WIDTH: f64 = 0.125;
+/// Slots per level. A lease that the next finer level cannot reach lasts at least half as long as this level spans.
 const SLOTS: u64 = 16;
-/// Levels: the last reaches over two hours, past the longest lifetime and overstay that settings allow.
+/// Levels: the last one reaches over two hours, longer than the longest lifetime and overstay in the settings.
 const LEVELS: usize = 14;
 
-/// Where a hold stands in the wheel.
+/// The position of a lease in the wheel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot {
     level: u8,
-    /// Seventeen years of the finest slots.
+    /// 32 bits last for seventeen years of the finest slots.
     number: u32,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Level {
-    /// The number of the first slot, and the sums of it and those after it.
+    /// The number of the first slot in `sums`.
     first: u32,
     sums: VecDeque<f64>,
 }
 
+/// Sums the query rates of leases and drops them as they expire.
 #[derive(Clone, Debug, Default)]
 pub struct ExpiryWheel {
     levels: Vec<Level>,
-    /// s; nothing runs out before.
-    next: f64,
+    /// Seconds; nothing expires before.
+    next_expiry: f64,
 }
 
-fn width(level: usize) -> f64 {
-    FINEST * (1_u64 << level) as f64
+fn slot_width(level: usize) -> f64 {
+    FINEST_WIDTH * (1_u64 << level) as f64
 }
 
 impl Slot {
-    /// The slot of a hold until a time.
-    fn of(until: f64, now: f64) -> Slot {
-        let fits = |level: &usize| (until - now) / width(*level) <= (SLOTS - 1) as f64;
-        let level = (0..LEVELS).find(fits).unwrap_or(LEVELS - 1);
-        Slot { level: level as u8, number: (until / width(level)).ceil() as u32 }
+    /// The slot of a lease that expires at `expires_at`.
+    fn of(expires_at: f64, now: f64) -> Slot {
+        let reaches = |level: &usize| (expires_at - now) / slot_width(*level) <= (SLOTS - 1) as f64;
+        let level = (0..LEVELS).find(reaches).unwrap_or(LEVELS - 1);
+        Slot { level: level as u8, number: (expires_at / slot_width(level)).ceil() as u32 }
     }
 
-    /// When it has run out, s.
+    /// The time in seconds at which the slot has expired.
     pub fn end(&self) -> f64 {
-        f64::from(self.number) * width(usize::from(self.level))
+        f64::from(self.number) * slot_width(usize::from(self.level))
     }
 }
 
 impl ExpiryWheel {
-    /// Holds of so many queries a second until a time.
-    pub fn add(&mut self, weight: f64, until: f64, now: f64) -> Slot {
-        let slot = Slot::of(until, now);
-        *self.at(slot, now) += weight;
+    /// Adds a lease of `rate` queries per second that expires at `expires_at`.
+    pub fn add(&mut self, rate: f64, expires_at: f64, now: f64) -> Slot {
+        let slot = Slot::of(expires_at, now);
+        *self.sum_mut(slot, now) += rate;
         slot
     }
 
-    /// Takes holds back that were added; nothing where they have run out.
-    pub fn remove(&mut self, weight: f64, slot: Slot, now: f64) {
+    /// Removes a lease that was added before; does nothing if it has expired.
+    pub fn remove(&mut self, rate: f64, slot: Slot, now: f64) {
         if slot.end() > now {
-            let sum = self.at(slot, now);
-            *sum = (*sum - weight).max(0.0);
+            let sum = self.sum_mut(slot, now);
+            *sum = (*sum - rate).max(0.0);
         }
     }
 
-    fn at(&mut self, slot: Slot, now: f64) -> &mut f64 {
+    fn sum_mut(&mut self, slot: Slot, now: f64) -> &mut f64 {
         self.expire(now);
-        let place = usize::from(slot.level);
-        if self.levels.len() <= place {
-            self.levels.resize(place + 1, Level::default());
+        let index = usize::from(slot.level);
+        if self.levels.len() <= index {
+            self.levels.resize(index + 1, Level::default());
         }
-        let level = &mut self.levels[place];
+        let level = &mut self.levels[index];
         if level.sums.is_empty() {
             level.first = slot.number;
         }
@@ -91,31 +93,31 @@
     }
 
     fn expire(&mut self, now: f64) {
-        if now < self.next {
+        if now < self.next_expiry {
             return;
         }
-        for (place, level) in self.levels.iter_mut().enumerate() {
-            while !level.sums.is_empty() && f64::from(level.first) * width(place) <= now {
+        for (index, level) in self.levels.iter_mut().enumerate() {
+            while !level.sums.is_empty() && f64::from(level.first) * slot_width(index) <= now {
                 level.sums.pop_front();
                 level.first += 1;
             }
         }
-        // Ends are whole numbers of the finest slot.
-        self.next = ((now / FINEST).floor() + 1.0) * FINEST;
+        // All slots end at multiples of the finest width.
+        self.next_expiry = ((now / FINEST_WIDTH).floor() + 1.0) * FINEST_WIDTH;
     }
 
-    /// Queries a second that are held now.
+    /// Queries per second of all leases that have not expired.
     pub fn sum(&mut self, now: f64) -> f64 {
         self.expire(now);
-        self.levels.iter().flat_map(|level| &level.sums).fold(0.0, |sum, held| sum + held)
+        self.levels.iter().flat_map(|level| &level.sums).fold(0.0, |sum, rate| sum + rate)
     }
 
-    /// When the last holder has let go, s; none where nothing is held.
+    /// The time in seconds at which the last lease expires; `None` if there is none.
     pub fn last_expiry(&mut self, now: f64) -> Option<f64> {
         self.expire(now);
-        let last = |(place, level): (usize, &Level)| {
-            let last = level.sums.iter().rposition(|held| *held > 0.0)?;
-            Some(f64::from(level.first + last as u32) * width(place))
+        let last = |(index, level): (usize, &Level)| {
+            let last = level.sums.iter().rposition(|rate| *rate > 0.0)?;
+            Some(f64::from(level.first + last as u32) * slot_width(index))
         };
         self.levels.iter().enumerate().filter_map(last).max_by(f64::total_cmp)
     }
