--- a/tables/src/history.rs
+++ b/tables/src/history.rs
@@ -1,9 +1,9 @@
-//! The last changes of tables, each with the round that made it and what had come in.
+//! The latest changes of tables, each with the round that made it and the inputs of that round.
 
 use oatlever::round::{Address, Round};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What came in for a round, counted.
+/// Number of inputs of a round by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoundInputs {
     pub lists: usize,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The kinds that came in, with their number.
+    /// The kinds with at least one input, and their numbers.
     pub fn nonzero(&self) -> impl Iterator<Item = (&'static str, usize)> {
         let all = [
             ("lists", self.lists),
@@ -43,40 +43,40 @@
     }
 }
 
-/// A table changed.
+/// A change of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     pub version: u64,
-    /// s, on the pilot's clock.
+    /// Seconds, on the pilot's clock.
     pub at: f64,
     pub round: u64,
     pub inputs: RoundInputs,
     pub table: u16,
     /// Server, weight before, weight after.
     pub lines: Vec<(Address, f64, f64)>,
-    /// By class, where levels were ordered: the level and the mode of a further try.
+    /// By class, if levels changed: the admission level and the retry mode.
     pub levels: BTreeMap<u16, (f64, u8)>,
 }
 
+/// A bounded log of changes.
 #[derive(Clone, Debug)]
 pub struct History {
-    most: usize,
+    capacity: usize,
     changes: VecDeque<Change>,
 }
 
 impl History {
-    pub fn with_capacity(most: usize) -> Self {
-        History { most: most.max(1), changes: VecDeque::new() }
+    pub fn with_capacity(capacity: usize) -> Self {
+        History { capacity: capacity.max(1), changes: VecDeque::new() }
     }
 
     pub fn push(&mut self, change: Change) {
-        if self.changes.len() == self.most {
+        if self.changes.len() == self.capacity {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
     }
 
-    /// Newest first.
     pub fn newest_first(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter().rev()
     }
--- a/tables/src/pull.rs
+++ b/tables/src/pull.rs
@@ -1,34 +1,35 @@
-//! The channel: what was ordered and may not be in use everywhere yet.
+//! Tracks the delivery of changes to askers: which changes may not be in use everywhere yet.
 //!
-//! Those who pull are not pushed to, so a message to them waits while an answer older than it may still be in use: until the
-//! last such answer handed to the asker has run out, or, where the asker is one host, until it was handed
-//! newer ones for all it holds. A message to a proxy on a stream waits until it is acknowledged. Receipts are passed on in the order of the orders, as the decisions take
-//! one for proof that all earlier messages have left.
+//! Nothing is pushed to askers that poll. A message to such an asker is pending while an older answer may still be in
+//! use: until the last one given to the asker has expired or, if the asker is a single host, until it was given newer
+//! answers for every class. A message to a proxy on a stream is pending until the proxy acknowledges it.
+//! Acknowledgements are passed on in the order of the messages, since the decisions take one as proof that all
+//! earlier messages have been delivered.
 
 use oatlever::round::Acknowledgement;
 use std::collections::VecDeque;
 
-/// Until when answers of a class may be in use, by those who were handed them.
-type Holds = Vec<f64>;
+/// By class: the time until which answers given to an asker may be in use.
+type Expiries = Vec<f64>;
 
-/// How an asker comes by its tables.
+/// How an asker gets its tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AskerKind {
-    /// Many hosts pull, each for itself.
+    /// Many hosts poll independently.
     Group,
-    /// One host pulls; it forgets an answer when it gets the next.
+    /// A single host polls; each answer replaces the one before.
     Host,
-    /// It holds a stream, is pushed to and acknowledges.
+    /// Updates are pushed on a stream and acknowledged.
     Stream,
 }
 
 #[derive(Clone, Debug)]
 struct Asker {
     kind: AskerKind,
-    /// Of those who pull.
-    until: Holds,
-    /// Its messages that wait, oldest first, by number since the start.
-    own: VecDeque<u64>,
+    /// Unused for streams.
+    expiries: Expiries,
+    /// Its pending messages, oldest first, by sequence number.
+    pending: VecDeque<u64>,
 }
 
 #[derive(Clone, Debug)]
@@ -37,136 +38,140 @@
     number: Option<u64>,
     version: u64,
     lines: f64,
-    /// Empty where nobody is left whom it was for.
-    until: Holds,
+    /// When older answers expire; empty once it is acknowledged, rejected, or its asker is disconnected.
+    expiries: Expiries,
 }
 
 impl Message {
-    fn left_at(&self) -> f64 {
-        self.until.iter().copied().fold(f64::NEG_INFINITY, f64::max)
+    fn delivered_at(&self) -> f64 {
+        self.expiries.iter().copied().fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// The book of what waits.
+/// The queue of pending messages to all askers.
 #[derive(Clone, Debug)]
 pub struct DeliveryTracker {
-    hold: f64,
+    /// Seconds for which an answer may be in use.
+    answer_lifetime: f64,
     askers: Vec<Asker>,
     messages: VecDeque<Message>,
-    /// Messages that were ever taken off the front.
-    taken: u64,
-    waiting: f64,
-    /// The most lines that ever waited.
+    /// Number of messages ever removed from the front of `messages`: the sequence number of the first one.
+    removed: u64,
+    pending_lines: f64,
+    /// The largest number of lines ever pending.
     pub max_pending_lines: f64,
-    /// Messages ordered so far.
+    /// Number of messages enqueued so far.
     pub message_count: u64,
 }
 
 impl DeliveryTracker {
-    /// `hold` is how long an answer may be in use, s. What others may have handed out before `start` is
-    /// assumed to be in use as long as anything could be.
-    pub fn new(askers: &[AskerKind], classes: usize, hold: f64, start: f64) -> Self {
-        let asker = |kind: &AskerKind| Asker {
-            kind: *kind,
-            until: vec![start + hold; classes],
-            own: VecDeque::new(),
+    /// `answer_lifetime` is how long an answer may be in use, in seconds. Answers given by another instance before
+    /// `start` are assumed to be in use for that long.
+    pub fn new(kinds: &[AskerKind], classes: usize, answer_lifetime: f64, start: f64) -> Self {
+        let asker = |&kind: &AskerKind| Asker {
+            kind,
+            expiries: vec![start + answer_lifetime; classes],
+            pending: VecDeque::new(),
         };
         DeliveryTracker {
-            hold,
-            askers: askers.iter().map(asker).collect(),
+            answer_lifetime,
+            askers: kinds.iter().map(asker).collect(),
             messages: VecDeque::new(),
-            taken: 0,
-            waiting: 0.0,
+            removed: 0,
+            pending_lines: 0.0,
             max_pending_lines: 0.0,
             message_count: 0,
         }
     }
 
-    /// Lines of changes ordered for an asker, that `version` brings.
+    /// Enqueues a message with the lines that changed for an asker in `version`. `number` is reported in its
+    /// acknowledgement; without one there is none.
     pub fn enqueue(&mut self, asker: u16, lines: f64, number: Option<u64>, version: u64, now: f64) {
-        let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
-        let open = |until: &f64| if *until > now { *until } else { f64::NEG_INFINITY };
-        let until = match held.kind {
+        let Some(state) = self.askers.get_mut(usize::from(asker)) else { return };
+        let unexpired = |expiry: &f64| if *expiry > now { *expiry } else { f64::NEG_INFINITY };
+        let expiries = match state.kind {
             AskerKind::Stream => vec![f64::INFINITY],
-            _ => held.until.iter().map(open).collect(),
+            _ => state.expiries.iter().map(unexpired).collect(),
         };
-        held.own.push_back(self.taken + self.messages.len() as u64);
-        self.messages.push_back(Message { asker, number, version, lines, until });
+        state.pending.push_back(self.removed + self.messages.len() as u64);
+        self.messages.push_back(Message { asker, number, version, lines, expiries });
         self.message_count += 1;
-        self.waiting += lines;
-        self.max_pending_lines = self.max_pending_lines.max(self.waiting);
+        self.pending_lines += lines;
+        self.max_pending_lines = self.max_pending_lines.max(self.pending_lines);
     }
 
-    /// An answer of a class, of this version, goes out to an asker. Costs in proportion to what waits for
-    /// this asker, whatever waits for others.
+    /// Records that an asker is given an answer of a class, built from `version`. The cost is linear in the number of
+    /// messages pending for this asker, independent of those pending for others.
     pub fn record_answer(&mut self, asker: u16, class: u16, version: u64, now: f64) {
         let class = usize::from(class);
-        let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
-        let Some(until) = held.until.get_mut(class) else { return };
-        *until = now + self.hold;
-        if held.kind == AskerKind::Host {
-            for number in &held.own {
-                let message = &mut self.messages[(number - self.taken) as usize];
+        let Some(state) = self.askers.get_mut(usize::from(asker)) else { return };
+        let Some(expiry) = state.expiries.get_mut(class) else { return };
+        *expiry = now + self.answer_lifetime;
+        if state.kind == AskerKind::Host {
+            for sequence in &state.pending {
+                let message = &mut self.messages[(sequence - self.removed) as usize];
                 if message.version <= version {
-                    message.until[class] = f64::NEG_INFINITY;
+                    message.expiries[class] = f64::NEG_INFINITY;
                 }
             }
         }
     }
 
+    /// Drops the messages pending for an asker, without acknowledgements.
     pub fn disconnect(&mut self, asker: u16) {
-        let Some(held) = self.askers.get_mut(usize::from(asker)) else { return };
-        for number in held.own.drain(..) {
-            let message = &mut self.messages[(number - self.taken) as usize];
-            self.waiting -= message.lines;
-            *message = Message { number: None, lines: 0.0, until: Vec::new(), ..*message };
+        let Some(state) = self.askers.get_mut(usize::from(asker)) else { return };
+        for sequence in state.pending.drain(..) {
+            let message = &mut self.messages[(sequence - self.removed) as usize];
+            self.pending_lines -= message.lines;
+            *message = Message { number: None, lines: 0.0, expiries: Vec::new(), ..*message };
         }
     }
 
-    /// Receipts of what has left by now.
+    /// Removes the messages delivered by now and returns their acknowledgements.
     pub fn acknowledgements(&mut self, now: f64) -> Vec<Acknowledgement> {
-        let mut out = Vec::new();
-        while self.messages.front().is_some_and(|front| front.left_at() <= now) {
+        let mut acknowledgements = Vec::new();
+        while self.messages.front().is_some_and(|front| front.delivered_at() <= now) {
             let Some(front) = self.messages.pop_front() else { break };
-            let own = &mut self.askers[usize::from(front.asker)].own;
-            if own.front() == Some(&self.taken) {
-                own.pop_front();
+            let pending = &mut self.askers[usize::from(front.asker)].pending;
+            if pending.front() == Some(&self.removed) {
+                pending.pop_front();
             }
-            self.taken += 1;
-            out.extend(front.number.map(|number| Acknowledgement { proxy: front.asker, number }));
-            self.waiting -= front.lines;
+            self.removed += 1;
+            acknowledgements
+                .extend(front.number.map(|number| Acknowledgement { proxy: front.asker, number }));
+            self.pending_lines -= front.lines;
         }
         if self.messages.is_empty() {
-            self.waiting = 0.0;
+            self.pending_lines = 0.0;
         }
-        out
+        acknowledgements
     }
 
-    /// A proxy on a stream has acknowledged all up to a version.
+    /// Records that a proxy on a stream acknowledged everything up to a version.
     pub fn acknowledge(&mut self, asker: u16, version: u64) {
-        self.end(asker, version, true);
+        self.resolve(asker, version, true);
     }
 
-    /// A proxy on a stream has refused what a version brought: it has left the channel without an acknowledgement.
+    /// Records that a proxy on a stream rejected a version: its messages are no longer pending but get no
+    /// acknowledgement.
     pub fn reject(&mut self, asker: u16, version: u64) {
-        self.end(asker, version, false);
+        self.resolve(asker, version, false);
     }
 
-    fn end(&mut self, asker: u16, version: u64, taken: bool) {
-        let Some(held) = self.askers.get(usize::from(asker)).filter(|a| a.kind == AskerKind::Stream) else {
-            return;
-        };
-        for number in &held.own {
-            let message = &mut self.messages[(number - self.taken) as usize];
-            if message.version <= version && !message.until.is_empty() {
-                message.until.clear();
-                message.number = message.number.filter(|_| taken);
+    fn resolve(&mut self, asker: u16, version: u64, accepted: bool) {
+        let state = self.askers.get(usize::from(asker));
+        let Some(state) = state.filter(|state| state.kind == AskerKind::Stream) else { return };
+        for sequence in &state.pending {
+            let message = &mut self.messages[(sequence - self.removed) as usize];
+            if message.version <= version && !message.expiries.is_empty() {
+                message.expiries.clear();
+                message.number = message.number.filter(|_| accepted);
             }
         }
     }
 
-    /// Lines that wait, counted at each asker concerned.
+    /// Lines of all pending messages, counted once per asker.
     pub fn pending_lines(&self) -> f64 {
-        self.waiting
+        self.pending_lines
     }
 }
--- a/tables/src/versions.rs
+++ b/tables/src/versions.rs
@@ -1,57 +1,58 @@
-//! Versions of a table that are kept, and going back to one.
+//! The retained versions of a table, and rollback to one of them.
 //!
-//! A table that was rolled back stays frozen at the old version's shares until it is released. The rules go
-//! on above it: a server that the decisions have no line for any more (it drains, is gone, or is not to be
-//! used) has none in the frozen table either, and a cold one has no greater part than they give it. What is
-//! taken from those goes to the warm servers of the old version; where none of them is left, the decisions'
-//! own lines hold, as nobody may be left without a server or with cold ones only.
+//! A table that was rolled back stays frozen at the shares of the old version until it is released. The rules of the
+//! decisions still apply: a server without a line in the current decisions (it drains, is gone, or must not be used)
+//! gets none in the frozen table, and a cold server gets no greater share than they give it. The share taken from
+//! these goes to the old version's warm servers. If none of them is left, the decisions' own lines are used, so that
+//! no asker is left without a server or with cold ones only.
 
 use oatlever::round::Address;
 use std::collections::{BTreeMap, VecDeque};
 
+/// The weights of a table by server.
 pub type Lines = BTreeMap<Address, f64>;
 
-/// A table as it was from a version on.
+/// A version of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableVersion {
     pub version: u64,
-    /// s, on the pilot's clock.
+    /// Seconds, on the pilot's clock.
     pub at: f64,
     pub lines: Lines,
 }
 
-/// The last versions of a table, oldest first.
+/// The latest versions of a table, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Versions {
-    kept: VecDeque<TableVersion>,
+    versions: VecDeque<TableVersion>,
 }
 
 impl Versions {
-    pub fn push(&mut self, kept: TableVersion, most: usize) {
-        self.kept.push_back(kept);
-        while self.kept.len() > most.max(1) {
-            self.kept.pop_front();
+    /// Adds a version and drops the oldest ones beyond `max`.
+    pub fn push(&mut self, version: TableVersion, max: usize) {
+        self.versions.push_back(version);
+        while self.versions.len() > max.max(1) {
+            self.versions.pop_front();
         }
     }
 
     pub fn all(&self) -> impl DoubleEndedIterator<Item = &TableVersion> {
-        self.kept.iter()
+        self.versions.iter()
     }
 
     pub fn find(&self, version: u64) -> Option<&TableVersion> {
-        self.kept.iter().find(|kept| kept.version == version)
+        self.versions.iter().find(|candidate| candidate.version == version)
     }
 }
 
-/// Why a table does not go back.
+/// Why a table cannot be rolled back, frozen or released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreezeError {
     NoTable,
-    /// No such version, or not kept any more.
+    /// The version does not exist or is no longer retained.
     NoVersion,
-    /// It had no lines then.
+    /// The version has no lines.
     Empty,
-    /// It is not frozen.
     NotFrozen,
 }
 
@@ -67,27 +68,27 @@
 }
 
 fn shares(lines: &Lines) -> Lines {
-    let all = lines.values().sum::<f64>().max(f64::MIN_POSITIVE);
-    lines.iter().map(|(server, weight)| (*server, weight / all)).collect()
+    let total = lines.values().sum::<f64>().max(f64::MIN_POSITIVE);
+    lines.iter().map(|(server, weight)| (*server, weight / total)).collect()
 }
 
-/// The lines of a table frozen at an old version, while the decisions want their own.
-pub fn frozen_lines(old: &Lines, own: &Lines, is_cold: impl Fn(&Address) -> bool) -> Lines {
-    let (old, own_shares) = (shares(old), shares(own));
+/// The lines of a table frozen at an old version, given the lines of the current decisions.
+pub fn frozen_lines(old: &Lines, current: &Lines, is_cold: impl Fn(&Address) -> bool) -> Lines {
+    let (old, current_shares) = (shares(old), shares(current));
     let (mut cold, mut warm) = (Lines::new(), Lines::new());
     for (server, share) in old.into_iter().filter(|(_, share)| *share > 0.0) {
-        match own_shares.get(&server) {
+        match current_shares.get(&server) {
             None => {}
-            Some(most) if is_cold(&server) => drop(cold.insert(server, share.min(*most))),
+            Some(max) if is_cold(&server) => drop(cold.insert(server, share.min(*max))),
             Some(_) => drop(warm.insert(server, share)),
         }
     }
     if warm.is_empty() {
-        return own.clone();
+        return current.clone();
     }
-    let left = 1.0 - cold.values().sum::<f64>();
+    let warm_share = 1.0 - cold.values().sum::<f64>();
     let mut lines = shares(&warm);
-    lines.values_mut().for_each(|share| *share *= left);
+    lines.values_mut().for_each(|share| *share *= warm_share);
     lines.extend(cold);
     lines
 }
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -1,5 +1,5 @@
-//! Random orders against a plain book of them, and the channel of those who pull against one that keeps
-//! every answer that was handed out.
+//! Checks random decisions against a simple model of the tables, and deliveries to askers that poll against a model
+//! that records every answer given.
 
 use oatlever::round::{Address, Writer};
 use oatlever_tables::{
@@ -11,105 +11,106 @@
 
 const ASKERS: u16 = 5;
 const CLASSES: usize = 2;
-const HOLD: f64 = 1.5;
+/// Seconds for which an answer may be in use.
+const ANSWER_LIFETIME: f64 = 1.5;
 
 fn server(n: u8) -> Address {
     Address { host: [10, 0, 0, n % 6], port: 7000 }
 }
 
 #[derive(Clone, Debug)]
-enum Order {
+enum Decision {
     Weigh(u16, u8, f64),
     Clear(u16),
     Bind(u16, u16),
     Withdraw(u8, bool),
     Admit(u16, u16, f64),
-    Close,
+    EndRound,
 }
 
-impl Arbitrary for Order {
+impl Arbitrary for Decision {
     fn arbitrary(g: &mut Gen) -> Self {
         let (table, n) = (u16::arbitrary(g) % 3, u8::arbitrary(g));
         match u8::arbitrary(g) % 10 {
-            0..=3 => Order::Weigh(table, n, f64::from(u8::arbitrary(g) % 4)),
-            4 => Order::Clear(table),
-            5 => Order::Bind(u16::arbitrary(g) % ASKERS, table),
-            6 => Order::Withdraw(n, bool::arbitrary(g)),
-            7 => Order::Admit(table, u16::arbitrary(g) % 4, f64::from(n % 3) / 2.0),
-            _ => Order::Close,
+            0..=3 => Decision::Weigh(table, n, f64::from(u8::arbitrary(g) % 4)),
+            4 => Decision::Clear(table),
+            5 => Decision::Bind(u16::arbitrary(g) % ASKERS, table),
+            6 => Decision::Withdraw(n, bool::arbitrary(g)),
+            7 => Decision::Admit(table, u16::arbitrary(g) % 4, f64::from(n % 3) / 2.0),
+            _ => Decision::EndRound,
         }
     }
 }
 
-/// The plain book.
+/// A simple model of the tables.
 #[derive(Default)]
-struct Plain {
+struct Model {
     lines: BTreeMap<(u16, Address), f64>,
     levels: BTreeMap<(u16, u16), f64>,
-    bound: BTreeMap<u16, u16>,
-    out: BTreeSet<Address>,
+    bindings: BTreeMap<u16, u16>,
+    withdrawn: BTreeSet<Address>,
 }
 
-impl Plain {
-    fn held(&self, asker: u16) -> Option<Vec<(Address, f64)>> {
-        let table = *self.bound.get(&asker)?;
-        let own = self.lines.iter().filter(|((t, s), _)| *t == table && !self.out.contains(s));
-        Some(own.map(|((_, server), weight)| (*server, *weight)).collect())
+impl Model {
+    fn lines(&self, asker: u16) -> Option<Vec<(Address, f64)>> {
+        let table = *self.bindings.get(&asker)?;
+        let lines = self.lines.iter().filter(|((t, s), _)| *t == table && !self.withdrawn.contains(s));
+        Some(lines.map(|((_, server), weight)| (*server, *weight)).collect())
     }
 }
 
 quickcheck! {
-    fn what_askers_hold_is_what_was_ordered(orders: Vec<Order>) -> bool {
-        let pull = DeliveryTracker::new(&[AskerKind::Host; ASKERS as usize], CLASSES, HOLD, 0.0);
-        let mut tables = Tables::new(usize::from(ASKERS), CLASSES, pull, 10);
-        let (mut plain, mut seen) = (Plain::default(), Vec::new());
+    fn tables_follow_the_decisions(decisions: Vec<Decision>) -> bool {
+        let deliveries = DeliveryTracker::new(&[AskerKind::Host; ASKERS as usize], CLASSES, ANSWER_LIFETIME, 0.0);
+        let mut tables = Tables::new(usize::from(ASKERS), CLASSES, deliveries, 10);
+        let (mut model, mut previous) = (Model::default(), Vec::new());
         tables.begin_round(0.0, 0, RoundInputs::default());
-        for (n, order) in orders.iter().enumerate() {
-            match *order {
-                Order::Weigh(table, n, weight) => {
+        for (n, decision) in decisions.iter().enumerate() {
+            match *decision {
+                Decision::Weigh(table, n, weight) => {
                     tables.weigh(table, server(n), weight);
                     if weight > 0.0 {
-                        plain.lines.insert((table, server(n)), weight);
+                        model.lines.insert((table, server(n)), weight);
                     } else {
-                        plain.lines.remove(&(table, server(n)));
+                        model.lines.remove(&(table, server(n)));
                     }
                 }
-                Order::Clear(table) => {
+                Decision::Clear(table) => {
                     tables.clear(table);
-                    plain.lines.retain(|(t, _), _| *t != table);
-                    plain.levels.retain(|(t, _), _| *t != table);
+                    model.lines.retain(|(t, _), _| *t != table);
+                    model.levels.retain(|(t, _), _| *t != table);
                 }
-                Order::Bind(asker, table) => {
+                Decision::Bind(asker, table) => {
                     tables.bind(asker, table);
-                    plain.bound.insert(asker, table);
+                    model.bindings.insert(asker, table);
                 }
-                Order::Withdraw(n, out) => {
-                    tables.withdraw(server(n), out);
-                    if out { plain.out.insert(server(n)) } else { plain.out.remove(&server(n)) };
+                Decision::Withdraw(n, withdrawn) => {
+                    tables.withdraw(server(n), withdrawn);
+                    if withdrawn { model.withdrawn.insert(server(n)) } else { model.withdrawn.remove(&server(n)) };
                 }
-                Order::Admit(table, classes, level) => {
+                Decision::Admit(table, classes, level) => {
                     tables.admit(table, classes, level, 1);
                     for class in (0..CLASSES as u16).filter(|c| classes == 0 || classes & (1 << c) != 0) {
-                        plain.levels.insert((table, class), level);
+                        model.levels.insert((table, class), level);
                     }
                 }
-                Order::Close => {
+                Decision::EndRound => {
                     tables.end_round();
-                    // Same table and version means that nothing a front reads has changed.
-                    let fresh: Vec<_> = (0..ASKERS).map(|asker| facts(&tables, asker)).collect();
-                    let changed = |(old, new): (&Facts, &Facts)| match (old, new) {
+                    // With the same table and version, nothing that a front reads may have changed.
+                    let current: Vec<_> = (0..ASKERS).map(|asker| snapshot(&tables, asker)).collect();
+                    let changed = |(old, new): (&Snapshot, &Snapshot)| match (old, new) {
                         (Some((version, old)), Some((same, new))) => version == same && old != new,
                         _ => false,
                     };
-                    if seen.iter().zip(&fresh).any(changed) { return false; }
-                    seen = fresh;
+                    if previous.iter().zip(&current).any(changed) { return false; }
+                    previous = current;
                     for asker in 0..ASKERS {
-                        if lines(&tables, asker) != plain.held(asker) { return false; }
+                        if lines(&tables, asker) != model.lines(asker) { return false; }
                         for class in 0..CLASSES as u16 {
                             let level = tables.view(asker, class).map(|view| view.level);
-                            let table = plain.bound.get(&asker);
-                            let wanted = table.map(|t| *plain.levels.get(&(*t, class)).unwrap_or(&1.0));
-                            if level != wanted { return false; }
+                            let table = model.bindings.get(&asker);
+                            let expected = table.map(|t| *model.levels.get(&(*t, class)).unwrap_or(&1.0));
+                            if level != expected { return false; }
                         }
                     }
                     tables.begin_round(n as f64, n as u64, RoundInputs::default());
@@ -119,97 +120,97 @@
         true
     }
 
-    /// No acknowledgement while an answer older than the order may be in use; an acknowledgement as soon as none may be,
-    /// and nothing ordered earlier still waits.
-    fn acknowledgements_tell_the_truth(steps: Vec<(u8, u8, u8)>) -> TestResult {
+    /// A message is acknowledged only when no older answer may be in use, and as soon as that holds for it and for all
+    /// earlier messages.
+    fn acknowledgements_come_when_no_older_answer_is_in_use(steps: Vec<(u8, u8, u8)>) -> TestResult {
         let kinds = [AskerKind::Host, AskerKind::Group, AskerKind::Host];
-        let mut pull = DeliveryTracker::new(&kinds, CLASSES, HOLD, 0.0);
-        // Every answer ever handed out: asker, class, version, until. At the start anything may be held.
+        let mut deliveries = DeliveryTracker::new(&kinds, CLASSES, ANSWER_LIFETIME, 0.0);
+        // Every answer given: asker, class, version, expiry. At the start any older answer may be in use.
         let mut answers: Vec<(u16, u16, u64, f64)> = Vec::new();
         for asker in 0..3 {
-            answers.extend((0..CLASSES as u16).map(|class| (asker, class, 0, HOLD)));
+            answers.extend((0..CLASSES as u16).map(|class| (asker, class, 0, ANSWER_LIFETIME)));
         }
-        let mut orders: Vec<(u16, u64)> = Vec::new();
-        let (mut now, mut told) = (0.0, 0);
-        for (what, asker, step) in steps {
+        let mut messages: Vec<(u16, u64)> = Vec::new();
+        let (mut now, mut acknowledged) = (0.0, 0);
+        for (action, asker, step) in steps {
             now += f64::from(step % 8) * 0.1;
             let asker = u16::from(asker) % 3;
-            if what % 3 == 0 {
-                let version = orders.len() as u64 + 1;
-                pull.enqueue(asker, 2.0, Some(version), version, now);
-                orders.push((asker, version));
+            if action % 3 == 0 {
+                let version = messages.len() as u64 + 1;
+                deliveries.enqueue(asker, 2.0, Some(version), version, now);
+                messages.push((asker, version));
             } else {
-                let (class, version) = (u16::from(what) % CLASSES as u16, orders.len() as u64);
-                pull.record_answer(asker, class, version, now);
+                let (class, version) = (u16::from(action) % CLASSES as u16, messages.len() as u64);
+                deliveries.record_answer(asker, class, version, now);
                 if kinds[usize::from(asker)] == AskerKind::Host {
                     answers.retain(|a| (a.0, a.1) != (asker, class));
                 }
-                answers.push((asker, class, version, now + HOLD));
+                answers.push((asker, class, version, now + ANSWER_LIFETIME));
             }
-            told += pull.acknowledgements(now).len();
-            let left = |(asker, version): &(u16, u64)| {
+            acknowledged += deliveries.acknowledgements(now).len();
+            let delivered = |(asker, version): &(u16, u64)| {
                 !answers.iter().any(|a| a.0 == *asker && a.2 < *version && a.3 > now)
             };
-            let wanted = orders.iter().take_while(|order| left(order)).count();
-            if told < wanted || !orders[..told].iter().all(left) {
-                return TestResult::error(format!("{told} told, {wanted} have left at {now}"));
+            let expected = messages.iter().take_while(|message| delivered(message)).count();
+            if acknowledged < expected || !messages[..acknowledged].iter().all(delivered) {
+                return TestResult::error(format!("{acknowledged} acknowledged, {expected} delivered at {now}"));
             }
-            if pull.pending_lines() != 2.0 * (orders.len() - told) as f64 {
-                return TestResult::error(format!("{} wait", pull.pending_lines()));
+            if deliveries.pending_lines() != 2.0 * (messages.len() - acknowledged) as f64 {
+                return TestResult::error(format!("{} lines pending", deliveries.pending_lines()));
             }
         }
         TestResult::passed()
     }
 
-    /// Whatever a table is frozen at: no server that the decisions dropped, no cold one with a greater part
-    /// than theirs, and never without a line while they have one.
-    fn frozen_tables_keep_the_rules(old: Vec<(u8, u8)>, own: Vec<(u8, u8)>, cold: Vec<u8>) -> bool {
+    /// A frozen table has no server that the decisions dropped, gives no cold server a greater share than they do, and
+    /// is never empty while theirs is not.
+    fn frozen_tables_keep_the_rules(old: Vec<(u8, u8)>, current: Vec<(u8, u8)>, cold: Vec<u8>) -> bool {
         let lines = |given: &[(u8, u8)]| -> Lines {
             given.iter().map(|(n, weight)| (server(*n), f64::from(*weight) + 1.0)).collect()
         };
-        let (old, own) = (lines(&old), lines(&own));
+        let (old, current) = (lines(&old), lines(&current));
         let cold: BTreeSet<Address> = cold.iter().map(|n| server(*n)).collect();
-        let laid = frozen_lines(&old, &own, |server| cold.contains(server));
-        let part = |lines: &Lines, server: &Address| lines.get(server).map_or(0.0, |w| w / lines.values().sum::<f64>());
-        let kept = |server: &Address| own.contains_key(server);
-        let spared = |server: &Address| !cold.contains(server) || part(&laid, server) <= part(&own, server) + 1e-9;
-        laid.is_empty() == own.is_empty()
-            && laid.keys().all(|server| kept(server) && spared(server))
-            && laid.values().all(|weight| *weight > 0.0)
+        let frozen = frozen_lines(&old, &current, |server| cold.contains(server));
+        let share = |lines: &Lines, server: &Address| lines.get(server).map_or(0.0, |w| w / lines.values().sum::<f64>());
+        let is_current = |server: &Address| current.contains_key(server);
+        let is_limited = |server: &Address| !cold.contains(server) || share(&frozen, server) <= share(&current, server) + 1e-9;
+        frozen.is_empty() == current.is_empty()
+            && frozen.keys().all(|server| is_current(server) && is_limited(server))
+            && frozen.values().all(|weight| *weight > 0.0)
     }
 
-    fn draws_hold_each_line_once_and_spread_by_weight(weights: Vec<u8>, most: u8) -> TestResult {
+    fn samples_have_no_duplicates_and_spread_by_weight(weights: Vec<u8>, max: u8) -> TestResult {
         let lines: BTreeMap<Address, f64> =
             weights.iter().take(200).enumerate().map(|(n, w)| (Address { host: [10, 0, 0, n as u8], port: 1 }, f64::from(*w))).collect();
         let index = WeightedIndex::new(lines.clone());
-        let open: Vec<_> = lines.iter().filter(|(_, weight)| **weight > 0.0).collect();
-        let (mut spread, mut count, rounds) = (GoldenSequence::new(0.3), BTreeMap::new(), 2000);
-        let mut chance = oatlever::chance::Chance::new(3);
+        let weighted: Vec<_> = lines.iter().filter(|(_, weight)| **weight > 0.0).collect();
+        let (mut sequence, mut count, rounds) = (GoldenSequence::new(0.3), BTreeMap::new(), 2000);
+        let mut rng = oatlever::chance::Chance::new(3);
         for _ in 0..rounds {
-            let drawn = index.sample(usize::from(most % 5) + 1, spread.next_fraction(), || chance.part());
-            let different: BTreeSet<_> = drawn.iter().map(|line| line.server).collect();
-            let wanted = (usize::from(most % 5) + 1).min(open.len());
-            if different.len() != drawn.len() || drawn.len() != wanted {
-                return TestResult::error(format!("{} drawn, {wanted} wanted", drawn.len()));
+            let sample = index.sample(usize::from(max % 5) + 1, sequence.next_fraction(), || rng.part());
+            let distinct: BTreeSet<_> = sample.iter().map(|line| line.server).collect();
+            let expected = (usize::from(max % 5) + 1).min(weighted.len());
+            if distinct.len() != sample.len() || sample.len() != expected {
+                return TestResult::error(format!("{} sampled, {expected} expected", sample.len()));
             }
-            if let Some(line) = drawn.first() {
+            if let Some(line) = sample.first() {
                 *count.entry(line.server).or_insert(0.0) += 1.0;
             }
         }
-        // Steps by the golden section miss a line's part by a few draws at most.
-        let all: f64 = open.iter().map(|(_, weight)| **weight).sum();
-        let off = |(server, weight): (&Address, &f64)| {
-            (count.get(server).copied().unwrap_or(0.0) - f64::from(rounds) * weight / all).abs()
+        // The golden sequence deviates from a line's share by a few samples at most.
+        let total: f64 = weighted.iter().map(|(_, weight)| **weight).sum();
+        let deviation = |(server, weight): (&Address, &f64)| {
+            (count.get(server).copied().unwrap_or(0.0) - f64::from(rounds) * weight / total).abs()
         };
-        let worst = open.iter().map(|(s, w)| off((s, w))).fold(0.0, f64::max);
+        let worst = weighted.iter().map(|(s, w)| deviation((s, w))).fold(0.0, f64::max);
         TestResult::from_bool(worst <= 12.0)
     }
 }
 
-/// Table and version, and all that a front reads of them.
-type Facts = Option<((u16, u64), (Vec<(Address, f64)>, Vec<f64>))>;
+/// Table and version, and everything that a front reads of them: lines and levels.
+type Snapshot = Option<((u16, u64), (Vec<(Address, f64)>, Vec<f64>))>;
 
-fn facts(tables: &Tables, asker: u16) -> Facts {
+fn snapshot(tables: &Tables, asker: u16) -> Snapshot {
     let view = tables.view(asker, 0)?;
     let level = |class| tables.view(asker, class).map(|view| view.level);
     let levels = (0..CLASSES as u16).filter_map(level).collect();
@@ -221,10 +222,10 @@
     Some(view.index.lines().iter().map(|line| (line.server, line.weight)).collect())
 }
 
-/// A change's reason stays in reach: its round and what had come in.
+/// The history tells which round made a change and what its inputs were.
 #[test]
-fn changes_say_which_round_made_them() {
-    let mut tables = Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Host], 1, HOLD, 0.0), 2);
+fn changes_record_their_round_and_its_inputs() {
+    let mut tables = Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Host], 1, ANSWER_LIFETIME, 0.0), 2);
     for round in 1..=3u8 {
         tables.begin_round(
             f64::from(round),
@@ -234,78 +235,79 @@
         tables.weigh(0, server(round), 1.0);
         tables.end_round();
     }
-    let told: Vec<_> =
+    let changes: Vec<_> =
         tables.history.newest_first().map(|c| (c.round, c.inputs.lists, c.lines.clone())).collect();
-    assert_eq!(told, [(3, 1, vec![(server(3), 0.0, 1.0)]), (2, 1, vec![(server(2), 0.0, 1.0)])]);
+    assert_eq!(changes, [(3, 1, vec![(server(3), 0.0, 1.0)]), (2, 1, vec![(server(2), 0.0, 1.0)])]);
 }
 
-/// What waits for a proxy that is gone waits for nobody: should it count on, the channel would look full.
+/// Messages pending for a disconnected proxy must not count: the channel would look full.
 #[test]
-fn nothing_waits_for_who_left() {
-    let mut pull = DeliveryTracker::new(&[AskerKind::Host; 2], 1, HOLD, 0.0);
-    pull.enqueue(0, 5.0, Some(1), 1, 0.5);
-    pull.enqueue(1, 7.0, Some(1), 1, 0.5);
-    pull.disconnect(0);
-    assert_eq!(pull.pending_lines(), 7.0);
-    assert_eq!(pull.acknowledgements(HOLD).len(), 1);
+fn nothing_is_pending_for_disconnected_askers() {
+    let mut deliveries = DeliveryTracker::new(&[AskerKind::Host; 2], 1, ANSWER_LIFETIME, 0.0);
+    deliveries.enqueue(0, 5.0, Some(1), 1, 0.5);
+    deliveries.enqueue(1, 7.0, Some(1), 1, 0.5);
+    deliveries.disconnect(0);
+    assert_eq!(deliveries.pending_lines(), 7.0);
+    assert_eq!(deliveries.acknowledgements(ANSWER_LIFETIME).len(), 1);
 }
 
-/// An ACK is an acknowledgement, a NACK is none; both have left, and what a broken stream was owed waits no more.
+/// An ACK and a NACK both complete a delivery, but only an ACK is acknowledged; a closed stream has nothing pending.
 #[test]
-fn streams_acknowledge_refuse_or_break() {
-    let mut pull = DeliveryTracker::new(&[AskerKind::Stream; 3], 1, HOLD, 0.0);
+fn streams_acknowledge_reject_or_disconnect() {
+    let mut deliveries = DeliveryTracker::new(&[AskerKind::Stream; 3], 1, ANSWER_LIFETIME, 0.0);
     for version in 1..=2 {
-        (0..3).for_each(|asker| pull.enqueue(asker, 2.0, Some(version), version, 1.0));
+        (0..3).for_each(|asker| deliveries.enqueue(asker, 2.0, Some(version), version, 1.0));
     }
-    assert!(pull.acknowledgements(1e9).is_empty(), "time alone is no acknowledgement");
-    pull.acknowledge(1, 1);
-    assert!(pull.acknowledgements(2.0).is_empty(), "the one before has not left");
-    pull.reject(0, 2);
-    let told = |pull: &mut DeliveryTracker| -> Vec<_> {
-        pull.acknowledgements(3.0).iter().map(|r| (r.proxy, r.number)).collect()
+    assert!(deliveries.acknowledgements(1e9).is_empty(), "time alone is no acknowledgement");
+    deliveries.acknowledge(1, 1);
+    assert!(deliveries.acknowledgements(2.0).is_empty(), "an earlier message is pending");
+    deliveries.reject(0, 2);
+    let acknowledged = |deliveries: &mut DeliveryTracker| -> Vec<_> {
+        deliveries.acknowledgements(3.0).iter().map(|r| (r.proxy, r.number)).collect()
     };
-    assert_eq!(told(&mut pull), [(1, 1)]);
-    pull.disconnect(2);
-    assert_eq!(told(&mut pull), []);
-    assert_eq!(pull.pending_lines(), 2.0);
-    pull.acknowledge(1, 2);
-    assert_eq!((told(&mut pull), pull.pending_lines()), (vec![(1, 2)], 0.0));
+    assert_eq!(acknowledged(&mut deliveries), [(1, 1)]);
+    deliveries.disconnect(2);
+    assert_eq!(acknowledged(&mut deliveries), []);
+    assert_eq!(deliveries.pending_lines(), 2.0);
+    deliveries.acknowledge(1, 2);
+    assert_eq!((acknowledged(&mut deliveries), deliveries.pending_lines()), (vec![(1, 2)], 0.0));
 }
 
-/// A rollback while a newer change is under way: what is held in the end is the old version, under a new
-/// number, and the decisions' orders do not show until it is released. Drains do.
+/// A rollback while a newer change is pending: the old version is published under a new number, and later decisions
+/// take effect only after the release. Drains take effect at once.
 #[test]
-fn a_table_goes_back_stays_and_is_released() {
-    let mut tables = Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Stream], 1, HOLD, 0.0), 10);
-    let order = |tables: &mut Tables, round: u64, weights: &[(u8, f64)]| {
+fn a_table_is_rolled_back_stays_frozen_and_is_released() {
+    let mut tables =
+        Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Stream], 1, ANSWER_LIFETIME, 0.0), 10);
+    let decide = |tables: &mut Tables, round: u64, weights: &[(u8, f64)]| {
         tables.begin_round(round as f64, round, RoundInputs::default());
         weights.iter().for_each(|(n, weight)| tables.weigh(0, server(*n), *weight));
         tables.bind(0, 0);
         tables.mark(round, false);
         tables.end_round();
     };
-    let held = |tables: &Tables| -> Vec<(Address, f64)> { lines(tables, 0).unwrap() };
-    order(&mut tables, 1, &[(1, 1.0), (2, 3.0)]);
-    order(&mut tables, 2, &[(2, 1.0), (3, 2.0)]);
+    let published = |tables: &Tables| -> Vec<(Address, f64)> { lines(tables, 0).unwrap() };
+    decide(&mut tables, 1, &[(1, 1.0), (2, 3.0)]);
+    decide(&mut tables, 2, &[(2, 1.0), (3, 2.0)]);
     assert_eq!(tables.roll_back(0, 7, 2.5, &mut NoReview), Err(FreezeError::NoVersion));
     assert_eq!(tables.roll_back(9, 1, 2.5, &mut NoReview), Err(FreezeError::NoTable));
     assert_eq!(tables.release(0, 2.5, &mut NoReview), Err(FreezeError::NotFrozen));
     assert_eq!(tables.roll_back(0, 1, 2.5, &mut NoReview), Ok(3));
     assert_eq!(
-        (held(&tables), tables.frozen_version(0)),
+        (published(&tables), tables.frozen_version(0)),
         (vec![(server(1), 0.25), (server(2), 0.75)], Some(1))
     );
     assert_eq!(tables.deliveries.acknowledgements(1e9).len(), 0, "nothing was acknowledged yet");
-    order(&mut tables, 3, &[(1, 5.0)]);
-    assert_eq!(held(&tables), [(server(1), 0.25), (server(2), 0.75)]);
-    // A drain goes through, and a server that is cold now gets no more than the decisions give it.
-    order(&mut tables, 4, &[(1, 0.0)]);
-    assert_eq!(held(&tables), [(server(2), 1.0)]);
-    order(&mut tables, 5, &[(1, 1.0), (3, 8.0)]);
+    decide(&mut tables, 3, &[(1, 5.0)]);
+    assert_eq!(published(&tables), [(server(1), 0.25), (server(2), 0.75)]);
+    // A drain takes effect, and a server that is cold now gets no greater share than the decisions give it.
+    decide(&mut tables, 4, &[(1, 0.0)]);
+    assert_eq!(published(&tables), [(server(2), 1.0)]);
+    decide(&mut tables, 5, &[(1, 1.0), (3, 8.0)]);
     tables.set_cold([server(1)].into());
-    order(&mut tables, 6, &[]);
-    assert_eq!(held(&tables), [(server(1), 0.1), (server(2), 0.9)]);
+    decide(&mut tables, 6, &[]);
+    assert_eq!(published(&tables), [(server(1), 0.1), (server(2), 0.9)]);
     let version = tables.release(0, 7.0, &mut NoReview).unwrap();
-    assert_eq!(held(&tables), [(server(1), 1.0), (server(2), 1.0), (server(3), 8.0)]);
+    assert_eq!(published(&tables), [(server(1), 1.0), (server(2), 1.0), (server(3), 8.0)]);
     assert_eq!(tables.versions(0).unwrap().all().next_back().unwrap().version, version);
 }
