--- a/askers/src/presence.rs
+++ b/askers/src/presence.rs
@@ -1,8 +1,8 @@
 //! Tracks which askers are up, by heartbeats and a timeout.
 //!
-//! Askers that poll have no connection whose end would show that they left. Such an asker is up from its first
-//! query, or the first successful scrape of its counters, until neither has happened for `away_after` seconds.
-//! Groups of clients are always up, as some of them may hold an answer at any time.
+//! Askers that poll have no connection whose end would show that they left. Such an asker is up from its
+//! first query, or the first successful scrape of its counters, until neither has happened for `away_after`
+//! seconds. Groups of clients are always up, as some of them may hold an answer at any time.
 
 use std::collections::VecDeque;
 
@@ -59,8 +59,8 @@
         std::mem::replace(&mut asker.up, up) != up
     }
 
-    /// Marks askers down whose timeout has passed and returns them. Each asker is checked once per `away_after`,
-    /// however many heartbeats it sends.
+    /// Marks askers down whose timeout has passed and returns them. Each asker is checked once per
+    /// `away_after`, however many heartbeats it sends.
     pub fn expire(&mut self, now: f64) -> Vec<u16> {
         let mut expired = Vec::new();
         while let Some((at, id)) = self.checks.front().copied().filter(|(at, _)| *at <= now) {
--- a/askers/tests/askers.rs
+++ b/askers/tests/askers.rs
@@ -81,10 +81,10 @@
     assert_eq!(cookies.verify(&cookie, source, now), CookieStatus::Verified(cookie.clone()));
     // Not verified from another address, when altered, or when expired.
     assert!(matches!(cookies.verify(&cookie, [198, 51, 100, 101].into(), now), CookieStatus::Unverified(_)));
-    for place in 0..cookie.len() {
+    for offset in 0..cookie.len() {
         let mut forged = cookie.clone();
-        forged[place] ^= 1;
-        assert!(matches!(cookies.verify(&forged, source, now), CookieStatus::Unverified(_)), "byte {place}");
+        forged[offset] ^= 1;
+        assert!(matches!(cookies.verify(&forged, source, now), CookieStatus::Unverified(_)), "byte {offset}");
     }
     assert!(matches!(cookies.verify(&cookie, source, now + 3601.0), CookieStatus::Unverified(_)));
     match cookies.verify(&cookie, source, now + 1801.0) {
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -30,8 +30,8 @@
 pub trait Backend {
     /// The asker's table for a class; records that it was answered. `None` if the asker has no table yet.
     fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>>;
-    /// Selects the addresses of up to `max` servers for a host of the asker, by the same table and recorded alike.
-    /// The answer has no servers if the table is empty.
+    /// Selects the addresses of up to `max` servers for a host of the asker, by the same table and recorded
+    /// alike. The answer has no servers if the table is empty.
     fn lookup_addresses(
         &mut self,
         asker: u16,
@@ -96,8 +96,8 @@
 }
 
 impl Front {
-    /// `prefixes` maps addresses to askers; `seed` generates the keys of cookies and of the rate limiter. Fails
-    /// if the origin is not a valid domain name.
+    /// `prefixes` maps addresses to askers; `seed` generates the keys of cookies and of the rate limiter.
+    /// Fails if the origin is not a valid domain name.
     pub fn new(settings: &Settings, prefixes: Rc<PrefixTrie>, seed: u64) -> Result<Self, ProtoError> {
         let mut rng = fastrand::Rng::with_seed(seed);
         let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
@@ -150,7 +150,8 @@
         transport: Transport,
         now: f64,
     ) -> Option<Vec<u8>> {
-        // Never answer a response, or a packet too short to tell: two servers could answer each other forever.
+        // Never answer a response, or a packet too short to tell: two servers could answer each other
+        // forever.
         if packet.len() < 12 || packet[2] & 0x80 != 0 {
             self.counters.dropped += 1;
             return None;
@@ -309,8 +310,8 @@
         Ok(None)
     }
 
-    /// The client of a query. A client subnet option (RFC 7871) replaces the source address if it was sent by a
-    /// trusted resolver.
+    /// The client of a query. A client subnet option (RFC 7871) replaces the source address if it was sent
+    /// by a trusted resolver.
     fn client(&self, edns: Option<&Edns>, source: Option<Ipv4Addr>) -> Client {
         let subnet = edns.and_then(|edns| match edns.option(EdnsCode::Subnet) {
             Some(EdnsOption::Subnet(subnet)) => Some(*subnet),
@@ -379,8 +380,8 @@
     }
 }
 
-/// The SRV records of a table and the addresses of their targets. RFC 2782: weights are integers up to 65,535;
-/// the smallest is 1, as a weight of 0 gives a target hardly any queries.
+/// The SRV records of a table and the addresses of their targets. RFC 2782: weights are integers up to
+/// 65,535; the smallest is 1, as a weight of 0 gives a target hardly any queries.
 fn srv_records(
     names: &Names,
     owner: &Name,
--- a/dns/src/names.rs
+++ b/dns/src/names.rs
@@ -2,7 +2,7 @@
 //!
 //! | name | records |
 //! | --- | --- |
-//! | `_class._tcp.origin`, `_class._tcp.zone.origin` | SRV: the servers of a class, for the asker or for a zone |
+//! | `_class._tcp.origin`, `_class._tcp.zone.origin` | SRV: the servers of a class, by asker or by zone |
 //! | `class.origin`, `class.zone.origin` | A: some of these servers, sampled by weight |
 //! | `10-0-0-1.node.origin` | A: one server |
 //! | `origin` | SOA, NS |
--- a/dns/src/prepared.rs
+++ b/dns/src/prepared.rs
@@ -54,9 +54,9 @@
 }
 
 impl AnswerCache {
-    /// Builds a response from the cached records, which are rebuilt by `records` (answers, additional records)
-    /// when the table's version changed. Omits the additional records if the response would exceed `max_len`
-    /// bytes with them; returns `None` if it would without them.
+    /// Builds a response from the cached records, which are rebuilt by `records` (answers, additional
+    /// records) when the table's version changed. Omits the additional records if the response would exceed
+    /// `max_len` bytes with them; returns `None` if it would without them.
     pub fn message(
         &mut self,
         (table, version, name): (u16, u64, &Name),
--- a/dns/src/server.rs
+++ b/dns/src/server.rs
@@ -25,7 +25,8 @@
 pub struct TcpLimits {
     pub max_connections: usize,
     pub max_per_source: usize,
-    /// Seconds after which a connection is closed that has not sent a complete query or has not taken an answer.
+    /// Seconds after which a connection is closed that has not sent a complete query or has not taken an
+    /// answer.
     pub idle_timeout: f64,
 }
 
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -76,8 +76,8 @@
 }
 
 impl Harness {
-    /// Askers 0 and 1 have tables with `servers` servers, weighted 1, 2, 3, ... for asker 0; asker 2 has no table
-    /// yet, asker 3 an empty one.
+    /// Askers 0 and 1 have tables with `servers` servers, weighted 1, 2, 3, ... for asker 0; asker 2 has no
+    /// table yet, asker 3 an empty one.
     fn new(servers: u8) -> Self {
         let settings = settings();
         let mut prefixes = PrefixTrie::default();
@@ -328,8 +328,8 @@
     assert_eq!(answer.header_counts().ancount(), 1);
 }
 
-/// Without a table yet, SERVFAIL lets resolvers go on serving stale answers (RFC 8767); an empty table is a valid
-/// answer without data; clients that belong to no asker are refused.
+/// Without a table yet, SERVFAIL lets resolvers go on serving stale answers (RFC 8767); an empty table is a
+/// valid answer without data; clients that belong to no asker are refused.
 #[test]
 fn missing_table_empty_table_and_unknown_client_get_different_codes() {
     let mut harness = Harness::new(3);
--- a/handout/src/choice.rs
+++ b/handout/src/choice.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
-/// The assumed rate of an unknown client as a multiple of the mean of the known ones: most are near the mean, few
-/// are far above it.
+/// The assumed rate of an unknown client as a multiple of the mean of the known ones: most are near the
+/// mean, few are far above it.
 const UNKNOWN_RATE_FACTOR: f64 = 2.0;
 
 /// Random samples that may hit an unsuitable line before all lines are searched.
@@ -68,8 +68,9 @@
 }
 
 impl AddressSelector {
-    /// Tracks at most `max_clients` clients; `key` is the ledger's hash key. Answers given before `start` by another
-    /// instance are assumed to be in use for the longest possible time: cold servers are not selected until then.
+    /// Tracks at most `max_clients` clients; `key` is the ledger's hash key. Answers given before `start`
+    /// by another instance are assumed to be in use for the longest possible time: cold servers are not
+    /// selected until then.
     pub fn new(lifetimes: Lifetimes, max_clients: usize, key: (u64, u64), start: f64) -> Self {
         let (sequences, budgets, contains_cold, counters) = Default::default();
         let unknown_until = start + f64::from(lifetimes.normal) + lifetimes.overstay;
@@ -92,8 +93,8 @@
         AddressSelector { uses_ledger: false, ..AddressSelector::new(lifetimes, 1, (0, 0), 0.0) }
     }
 
-    /// Records that a client sent a server `queries` of a class within `span` seconds, all since the time `since`.
-    /// It may be using an expired answer.
+    /// Records that a client sent a server `queries` of a class within `span` seconds, all since the time
+    /// `since`. It may be using an expired answer.
     pub fn record_queries(
         &mut self,
         server: Address,
@@ -111,8 +112,8 @@
         self.ledger.record_use((host, class), &server, rate, since, now);
     }
 
-    /// Sets the cold servers and their budgets: the queries per second that the tables give each of them from the
-    /// clients that query here.
+    /// Sets the cold servers and their budgets: the queries per second that the tables give each of them
+    /// from the clients that query here.
     pub fn set_cold_budgets(&mut self, budgets: BTreeMap<Address, f64>, now: f64) {
         self.budgets = budgets;
         self.contains_cold.clear();
@@ -138,7 +139,8 @@
         self.rates.untracked_bound(now).unwrap_or(0.0).max(assumed)
     }
 
-    /// The budget that remains at a cold server after adding a client with this rate; `None` for a warm server.
+    /// The budget that remains at a cold server after adding a client with this rate; `None` for a warm
+    /// server.
     fn remaining_budget(&mut self, server: &Address, client: Client, rate: f64, now: f64) -> Option<f64> {
         let budget = *self.budgets.get(server)?;
         if now < self.unknown_until {
@@ -153,8 +155,8 @@
         self.remaining_budget(server, client, rate, now).is_none_or(|remaining| remaining >= 0.0)
     }
 
-    /// Selects up to `max` addresses from a client's table and records them in the ledger. `None` if the table is
-    /// empty.
+    /// Selects up to `max` addresses from a client's table and records them in the ledger. `None` if the
+    /// table is empty.
     pub fn answer(
         &mut self,
         view: &View,
@@ -253,8 +255,8 @@
         }
     }
 
-    /// Makes an answer of several servers cover a second zone if the table does: a zone may fail during the answer's
-    /// lifetime.
+    /// Makes an answer of several servers cover a second zone if the table does: a zone may fail during the
+    /// answer's lifetime.
     fn cover_two_zones(
         &self,
         selected: &mut [Line],
--- a/handout/src/holds.rs
+++ b/handout/src/holds.rs
@@ -1,17 +1,19 @@
 //! Sums of query rates by expiry time.
 //!
-//! A hierarchical timing wheel, the slots of each level twice as wide as those of the level below. A lease goes to
-//! the finest level that reaches its expiry, which is rounded up to the end of its slot; nothing cascades between
-//! levels. A lease is therefore counted too long by at most a seventh of its duration, or an eighth of a second,
-//! and never too short.
+//! A hierarchical timing wheel, the slots of each level twice as wide as those of the level below. A lease
+//! goes to the finest level that reaches its expiry, which is rounded up to the end of its slot; nothing
+//! cascades between levels. A lease is therefore counted too long by at most a seventh of its duration, or
+//! an eighth of a second, and never too short.
 
 use std::collections::VecDeque;
 
 /// Slot width of the finest level, in seconds.
 const FINEST_WIDTH: f64 = 0.125;
-/// Slots per level. A lease that the next finer level cannot reach lasts at least half as long as this level spans.
+/// Slots per level. A lease that the next finer level cannot reach lasts at least half as long as this
+/// level spans.
 const SLOTS: u64 = 16;
-/// Levels: the last one reaches over two hours, longer than the longest lifetime and overstay in the settings.
+/// Levels: the last one reaches over two hours, longer than the longest lifetime and overstay in the
+/// settings.
 const LEVELS: usize = 14;
 
 /// The position of a lease in the wheel.
--- a/handout/src/hosts.rs
+++ b/handout/src/hosts.rs
@@ -1,15 +1,16 @@
 //! Query rates by client address and class: the heaviest nearly exact, all others bounded from above.
 //!
-//! A space-saving sketch (Metwally, Agrawal, El Abbadi, 2005) over exponentially decaying counts. When all counters
-//! are in use, a new key takes over the smallest one together with its count. No key is heavier than its counter
-//! says, and a key without a counter is no heavier than the smallest counter.
+//! A space-saving sketch (Metwally, Agrawal, El Abbadi, 2005) over exponentially decaying counts. When all
+//! counters are in use, a new key takes over the smallest one together with its count. No key is heavier
+//! than its counter says, and a key without a counter is no heavier than the smallest counter.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
 
 /// Time constant of the decay in seconds: a few report periods, as a single client's queries are rare.
 const DECAY: f64 = 10.0;
-/// Time constants after which the counts are rescaled; stored counts grow by a factor of e in each until then.
+/// Time constants after which the counts are rescaled; stored counts grow by a factor of e in each until
+/// then.
 const RESCALE_AFTER: f64 = 50.0;
 
 /// Keys ordered by count. Counts are never negative, so that their bits order as they do.
--- a/handout/src/ledger.rs
+++ b/handout/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Which servers clients may still be using by the answers they were given.
 //!
-//! Each client counts once at every server named by any of its live answers. Clients are kept in a set-associative
-//! table with LRU replacement; an evicted client that queries again counts twice until its earlier answer has
-//! expired, so that totals may be too high but never too low.
+//! Each client counts once at every server named by any of its live answers. Clients are kept in a
+//! set-associative table with LRU replacement; an evicted client that queries again counts twice until its
+//! earlier answer has expired, so that totals may be too high but never too low.
 
 use crate::holds::{ExpiryWheel, Slot};
 use arrayvec::ArrayVec;
@@ -16,8 +16,8 @@
 const WAYS: usize = 8;
 /// Servers tracked per client and class: the answers that it may hold at once name few.
 const MAX_LEASES: usize = 8;
-/// Upper limit in seconds on the time that a client is assumed to use an answer past its end: ten times the longest
-/// usual lifetime of a minute.
+/// Upper limit in seconds on the time that a client is assumed to use an answer past its end: ten times the
+/// longest usual lifetime of a minute.
 const MAX_OVERSTAY: f64 = 600.0;
 
 /// A client's use of a server, until the answers that name the server expire.
@@ -62,8 +62,8 @@
 }
 
 impl Entry {
-    /// Leases a server until `expires_at`; `due` is when its use should end. An existing lease of the server is
-    /// extended.
+    /// Leases a server until `expires_at`; `due` is when its use should end. An existing lease of the
+    /// server is extended.
     fn lease(
         &mut self,
         servers: &mut HashMap<Address, ExpiryWheel>,
@@ -91,7 +91,8 @@
         }
         let slot = wheel.add(f64::from(max_rate), end, now);
         if self.leases.len() == MAX_LEASES {
-            // Replace the lease that expired first; if all are live, the new one is counted but not remembered.
+            // Replace the lease that expired first; if all are live, the new one is counted but not
+            // remembered.
             let end = |lease: &Lease| lease.slot.end();
             let first =
                 (0..MAX_LEASES).min_by(|a, b| end(&self.leases[*a]).total_cmp(&end(&self.leases[*b])));
@@ -103,7 +104,8 @@
 }
 
 impl Ledger {
-    /// Tracks at most `max_entries` clients and classes. The hash key keeps clients from choosing whom they evict.
+    /// Tracks at most `max_entries` clients and classes. The hash key keeps clients from choosing whom they
+    /// evict.
     pub fn new(max_entries: usize, key: (u64, u64)) -> Self {
         let sets = vec![Vec::new(); max_entries.div_ceil(WAYS).max(1)];
         Ledger { servers: HashMap::new(), sets, key, evicted: 0, overstays: 0, max_overstay: 0.0 }
@@ -116,9 +118,9 @@
         (hasher.finish() % self.sets.len() as u64) as usize
     }
 
-    /// Records an answer: a client with `rate` queries per second of a class may use these servers until the answer
-    /// expires at `expires_at`, and past that for `overstay` seconds or as long as the client itself was observed
-    /// to overstay.
+    /// Records an answer: a client with `rate` queries per second of a class may use these servers until
+    /// the answer expires at `expires_at`, and past that for `overstay` seconds or as long as the client
+    /// itself was observed to overstay.
     pub fn record_answer(
         &mut self,
         (host, class): (Ipv4Addr, u16),
@@ -150,8 +152,9 @@
         }
     }
 
-    /// Records that a client sent a server `rate` queries per second since the time `since`. If its lease was due
-    /// before, the client uses answers past their lifetime, and is assumed to go on for as long again.
+    /// Records that a client sent a server `rate` queries per second since the time `since`. If its lease
+    /// was due before, the client uses answers past their lifetime, and is assumed to go on for as long
+    /// again.
     pub fn record_use(
         &mut self,
         (host, class): (Ipv4Addr, u16),
--- a/handout/tests/handout.rs
+++ b/handout/tests/handout.rs
@@ -100,8 +100,8 @@
     clients.values().sum()
 }
 
-/// Hundreds of clients with overlapping answers: the sums are never too low, whichever clients are evicted; with
-/// room for all of them they are too high only by rounding.
+/// Hundreds of clients with overlapping answers: the sums are never too low, whichever clients are evicted;
+/// with room for all of them they are too high only by rounding.
 #[test]
 fn the_ledger_is_never_too_low() {
     for (capacity, max_excess) in [(4096, 1.35), (64, f64::INFINITY)] {
@@ -152,8 +152,9 @@
     selector.answer(&view(index), client, 3, zone, now, || rng.f64()).unwrap()
 }
 
-/// A resolver as heavy as 200 terminals, terminals, and a client that queries from a new address each time: the
-/// outstanding rate of a cold server never exceeds its budget, every answer is complete, and cold servers are used.
+/// A resolver as heavy as 200 terminals, terminals, and a client that queries from a new address each time:
+/// the outstanding rate of a cold server never exceeds its budget, every answer is complete, and cold
+/// servers are used.
 #[test]
 fn cold_servers_stay_within_their_budgets() {
     let mut rng = fastrand::Rng::with_seed(4);
@@ -189,8 +190,8 @@
     assert!(selector.counters.cold_skipped > 0 && selector.counters.cold_only == 0);
 }
 
-/// A server restarts while answers name it: live leases still count against its budget, and it is not selected until
-/// they have expired.
+/// A server restarts while answers name it: live leases still count against its budget, and it is not
+/// selected until they have expired.
 #[test]
 fn leases_outlast_a_restart_of_the_server() {
     let mut rng = fastrand::Rng::with_seed(5);
@@ -243,8 +244,8 @@
     );
 }
 
-/// 200 clients that use only the first address are spread by weight within two percentage points, and every answer
-/// covers two zones.
+/// 200 clients that use only the first address are spread by weight within two percentage points, and every
+/// answer covers two zones.
 #[test]
 fn shares_follow_the_weights_and_answers_cover_two_zones() {
     let mut rng = fastrand::Rng::with_seed(7);
@@ -265,8 +266,8 @@
     }
 }
 
-/// A new instance knows of no leases and no clients: cold servers are not selected until the answers of a previous
-/// instance must have expired, and then not for an unknown client that may be its whole asker.
+/// A new instance knows of no leases and no clients: cold servers are not selected until the answers of a
+/// previous instance must have expired, and then not for an unknown client that may be its whole asker.
 #[test]
 fn unknown_leases_and_clients_are_assumed_to_be_heavy() {
     let mut rng = fastrand::Rng::with_seed(8);
@@ -285,8 +286,8 @@
     assert!(!cold_selected(&mut new_instance, 0, 100.0));
 }
 
-/// A resolver uses answers for ten times their lifetime: the servers' counters show it, and its leases are extended
-/// accordingly; a client that respects lifetimes is not affected.
+/// A resolver uses answers for ten times their lifetime: the servers' counters show it, and its leases are
+/// extended accordingly; a client that respects lifetimes is not affected.
 #[test]
 fn overstaying_clients_are_detected() {
     let mut ledger = Ledger::new(64, (1, 2));
--- a/tables/src/index.rs
+++ b/tables/src/index.rs
@@ -1,5 +1,5 @@
-//! An index over a table's lines for weighted sampling: sorted lines with cumulative weights, so that a sample
-//! costs a binary search and no copy.
+//! An index over a table's lines for weighted sampling: sorted lines with cumulative weights, so that a
+//! sample costs a binary search and no copy.
 
 use oatlever::round::Address;
 
@@ -51,15 +51,15 @@
         self.lines.get(position.min(self.lines.len().saturating_sub(1)))
     }
 
-    /// Samples up to `max` different lines. The first is the line at `fraction`, so that clients that use only the
-    /// first spread by weight; each further one is sampled by weight from the remaining lines.
+    /// Samples up to `max` different lines. The first is the line at `fraction`, so that clients that use
+    /// only the first spread by weight; each further one is sampled by weight from the remaining lines.
     pub fn sample(&self, max: usize, fraction: f64, mut random: impl FnMut() -> f64) -> Vec<Line> {
         let Some(first) = self.at_fraction(fraction) else { return Vec::new() };
         let mut selected = vec![*first];
         let mut remaining_weight = self.total_weight() - first.weight;
         while selected.len() < max.min(self.lines.len()) {
-            // Rejection sampling from all lines, rejecting selected ones. If those have nearly all the weight it
-            // would take many tries, so that after a few the remaining lines are scanned instead.
+            // Rejection sampling from all lines, rejecting selected ones. If those have nearly all the
+            // weight it would take many tries, so that after a few the remaining lines are scanned instead.
             let is_new = |line: &Line| !selected.iter().any(|other| other.server == line.server);
             let sampled = (0..SAMPLE_TRIES)
                 .find_map(|_| self.at_fraction(random()).copied().filter(|line| is_new(line)));
@@ -88,13 +88,13 @@
 /// Random samples that may hit a selected line before the remaining lines are scanned.
 const SAMPLE_TRIES: usize = 8;
 
-/// A low-discrepancy sequence of fractions from 0 to 1 by the golden ratio: any number of consecutive ones is evenly
-/// spread.
+/// A low-discrepancy sequence of fractions from 0 to 1 by the golden ratio: any number of consecutive ones
+/// is evenly spread.
 #[derive(Clone, Copy, Debug)]
 pub struct GoldenSequence(f64);
 
-/// The fractional part of the golden ratio, the irrational number worst approximated by fractions: no short run of
-/// steps returns close to its start.
+/// The fractional part of the golden ratio, the irrational number worst approximated by fractions: no short
+/// run of steps returns close to its start.
 const GOLDEN: f64 = 0.618_033_988_749_894_9;
 
 impl GoldenSequence {
--- a/tables/src/lib.rs
+++ b/tables/src/lib.rs
@@ -1,10 +1,11 @@
 //! The routing tables that the pilot's decisions result in: which lines each asker may use, by version.
 //!
-//! [`Tables`] is the [`Writer`] that decisions are written to. Every front reads from it and makes no decisions of
-//! its own. It performs no I/O and reads no clock: the time is passed in with each call, in seconds.
+//! [`Tables`] is the [`Writer`] that decisions are written to. Every front reads from it and makes no
+//! decisions of its own. It performs no I/O and reads no clock: the time is passed in with each call, in
+//! seconds.
 //!
-//! A round is written between [`Tables::begin_round`] and [`Tables::end_round`]. Nothing is read in between, so that
-//! readers see a round completely or not at all.
+//! A round is written between [`Tables::begin_round`] and [`Tables::end_round`]. Nothing is read in
+//! between, so that readers see a round completely or not at all.
 
 mod history;
 mod index;
@@ -43,8 +44,8 @@
 pub trait Review {
     /// Called first with all proposed tables of a round.
     fn prepare(&mut self, _proposals: &BTreeMap<u16, Lines>) {}
-    /// Returns the lines to publish instead, or `None` to accept the proposed ones. `users` are the askers bound to
-    /// the table.
+    /// Returns the lines to publish instead, or `None` to accept the proposed ones. `users` are the askers
+    /// bound to the table.
     fn review_lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines>;
     /// Returns the admission level and the retry mode of a class to publish.
     fn review_level(&mut self, table: u16, class: u16, level: f64, retry_mode: u8) -> (f64, u8);
@@ -115,7 +116,8 @@
 }
 
 impl Tables {
-    /// Creates the tables for a number of askers and classes; the history keeps the latest `max_changes` changes.
+    /// Creates the tables for a number of askers and classes; the history keeps the latest `max_changes`
+    /// changes.
     pub fn new(askers: usize, classes: usize, deliveries: DeliveryTracker, max_changes: usize) -> Self {
         Tables {
             classes,
@@ -172,14 +174,14 @@
         self.pending = PendingRound { now, number, inputs, ..PendingRound::default() };
     }
 
-    /// Publishes the round: updates indexes, the version, pending deliveries and the history. Returns the actions that
-    /// the pilot itself has to take.
+    /// Publishes the round: updates indexes, the version, pending deliveries and the history. Returns the
+    /// actions that the pilot itself has to take.
     pub fn end_round(&mut self) -> Actions {
         self.end_round_reviewed(&mut NoReview)
     }
 
-    /// Publishes the round after a review of each table that changes. Tables that are frozen or were replaced by a
-    /// review are reviewed in every round, since their servers may have drained or warmed up.
+    /// Publishes the round after a review of each table that changes. Tables that are frozen or were
+    /// replaced by a review are reviewed in every round, since their servers may have drained or warmed up.
     pub fn end_round_reviewed(&mut self, review: &mut dyn Review) -> Actions {
         let round = std::mem::take(&mut self.pending);
         let overridden = self.tables.iter().enumerate().filter(|(_, t)| t.frozen.is_some() || t.replaced);
@@ -238,7 +240,8 @@
         Ok(self.publish_override(table, now, review))
     }
 
-    /// Freezes a table at lines set by an operator, as version 0. Returns the version in which this takes effect.
+    /// Freezes a table at lines set by an operator, as version 0. Returns the version in which this takes
+    /// effect.
     pub fn freeze(
         &mut self,
         table: u16,
@@ -276,8 +279,8 @@
         }
     }
 
-    /// The lines to propose for a table: those of the decisions without withdrawn servers, or those that it is frozen
-    /// at.
+    /// The lines to propose for a table: those of the decisions without withdrawn servers, or those that it
+    /// is frozen at.
     fn proposed_lines(&self, table: u16) -> Lines {
         let state = &self.tables[usize::from(table)];
         let usable = state.lines.iter().filter(|(server, _)| !self.withdrawn.contains(server));
@@ -288,8 +291,8 @@
         }
     }
 
-    /// Publishes the reviewed state of tables, all under one new version if anything changed. Returns the changed
-    /// tables and the number of lines that changed in each.
+    /// Publishes the reviewed state of tables, all under one new version if anything changed. Returns the
+    /// changed tables and the number of lines that changed in each.
     fn publish(
         &mut self,
         tables: &BTreeSet<u16>,
@@ -423,13 +426,13 @@
         *self.pending.cost.entry(asker).or_default() += lines as f64;
     }
 
-    fn withdraw(&mut self, server: Address, out: bool) {
+    fn withdraw(&mut self, server: Address, withdrawn: bool) {
         let affected = (0..self.tables.len()).filter(|n| self.tables[*n].lines.contains_key(&server));
         for table in affected.map(|n| n as u16).collect::<Vec<_>>() {
             self.pending.written_lines.insert(table);
             self.add_cost(table);
         }
-        if out {
+        if withdrawn {
             self.withdrawn.insert(server);
         } else {
             self.withdrawn.remove(&server);
@@ -437,11 +440,11 @@
     }
 
     fn admit(&mut self, table: u16, classes: u16, level: f64, retry_mode: u8) {
-        let named = classes_in_mask(classes, self.classes);
+        let classes = classes_in_mask(classes, self.classes);
         let last = self.tables.len().saturating_sub(1) as u16;
         for number in if table == ALL_TABLES { 0..=last } else { table..=table } {
             let state = self.table_mut(number);
-            state.levels.extend(named.clone().map(|class| (class, (level, retry_mode))));
+            state.levels.extend(classes.clone().map(|class| (class, (level, retry_mode))));
             self.pending.written_levels.insert(number);
             self.add_cost(number);
         }
--- a/tables/src/pull.rs
+++ b/tables/src/pull.rs
@@ -1,10 +1,10 @@
 //! Tracks the delivery of changes to askers: which changes may not be in use everywhere yet.
 //!
-//! Nothing is pushed to askers that poll. A message to such an asker is pending while an older answer may still be in
-//! use: until the last one given to the asker has expired or, if the asker is a single host, until it was given newer
-//! answers for every class. A message to a proxy on a stream is pending until the proxy acknowledges it.
-//! Acknowledgements are passed on in the order of the messages, since the decisions take one as proof that all
-//! earlier messages have been delivered.
+//! Nothing is pushed to askers that poll. A message to such an asker is pending while an older answer may
+//! still be in use: until the last one given to the asker has expired or, if the asker is a single host,
+//! until it was given newer answers for every class. A message to a proxy on a stream is pending until the
+//! proxy acknowledges it. Acknowledgements are passed on in the order of the messages, since the decisions
+//! take one as proof that all earlier messages have been delivered.
 
 use oatlever::round::Acknowledgement;
 use std::collections::VecDeque;
@@ -65,8 +65,8 @@
 }
 
 impl DeliveryTracker {
-    /// `answer_lifetime` is how long an answer may be in use, in seconds. Answers given by another instance before
-    /// `start` are assumed to be in use for that long.
+    /// `answer_lifetime` is how long an answer may be in use, in seconds. Answers given by another instance
+    /// before `start` are assumed to be in use for that long.
     pub fn new(kinds: &[AskerKind], classes: usize, answer_lifetime: f64, start: f64) -> Self {
         let asker = |&kind: &AskerKind| Asker {
             kind,
@@ -100,8 +100,8 @@
         self.max_pending_lines = self.max_pending_lines.max(self.pending_lines);
     }
 
-    /// Records that an asker is given an answer of a class, built from `version`. The cost is linear in the number of
-    /// messages pending for this asker, independent of those pending for others.
+    /// Records that an asker is given an answer of a class, built from `version`. The cost is linear in the
+    /// number of messages pending for this asker, independent of those pending for others.
     pub fn record_answer(&mut self, asker: u16, class: u16, version: u64, now: f64) {
         let class = usize::from(class);
         let Some(state) = self.askers.get_mut(usize::from(asker)) else { return };
--- a/tables/src/versions.rs
+++ b/tables/src/versions.rs
@@ -1,10 +1,11 @@
 //! The retained versions of a table, and rollback to one of them.
 //!
-//! A table that was rolled back stays frozen at the shares of the old version until it is released. The rules of the
-//! decisions still apply: a server without a line in the current decisions (it drains, is gone, or must not be used)
-//! gets none in the frozen table, and a cold server gets no greater share than they give it. The share taken from
-//! these goes to the old version's warm servers. If none of them is left, the decisions' own lines are used, so that
-//! no asker is left without a server or with cold ones only.
+//! A table that was rolled back stays frozen at the shares of the old version until it is released. The
+//! rules of the decisions still apply: a server without a line in the current decisions (it drains, is
+//! gone, or must not be used) gets none in the frozen table, and a cold server gets no greater share than
+//! they give it. The share taken from these goes to the old version's warm servers. If none of them is
+//! left, the decisions' own lines are used, so that no asker is left without a server or with cold ones
+//! only.
 
 use oatlever::round::Address;
 use std::collections::{BTreeMap, VecDeque};
@@ -51,7 +52,7 @@
     NoTable,
     /// The version does not exist or is no longer retained.
     NoVersion,
-    /// The version has no lines.
+    /// The version, or the lines set by an operator, give no server any weight.
     Empty,
     NotFrozen,
 }
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -1,5 +1,5 @@
-//! Checks random decisions against a simple model of the tables, and deliveries to askers that poll against a model
-//! that records every answer given.
+//! Checks random decisions against a simple model of the tables, and deliveries to askers that poll against
+//! a model that records every answer given.
 
 use oatlever::round::{Address, Writer};
 use oatlever_tables::{
@@ -120,8 +120,8 @@
         true
     }
 
-    /// A message is acknowledged only when no older answer may be in use, and as soon as that holds for it and for all
-    /// earlier messages.
+    /// A message is acknowledged only when no older answer may be in use, and as soon as that holds for it
+    /// and for all earlier messages.
     fn acknowledgements_come_when_no_older_answer_is_in_use(steps: Vec<(u8, u8, u8)>) -> TestResult {
         let kinds = [AskerKind::Host, AskerKind::Group, AskerKind::Host];
         let mut deliveries = DeliveryTracker::new(&kinds, CLASSES, ANSWER_LIFETIME, 0.0);
@@ -162,8 +162,8 @@
         TestResult::passed()
     }
 
-    /// A frozen table has no server that the decisions dropped, gives no cold server a greater share than they do, and
-    /// is never empty while theirs is not.
+    /// A frozen table has no server that the decisions dropped, gives no cold server a greater share than
+    /// they do, and is never empty while theirs is not.
     fn frozen_tables_keep_the_rules(old: Vec<(u8, u8)>, current: Vec<(u8, u8)>, cold: Vec<u8>) -> bool {
         let lines = |given: &[(u8, u8)]| -> Lines {
             given.iter().map(|(n, weight)| (server(*n), f64::from(*weight) + 1.0)).collect()
@@ -251,7 +251,8 @@
     assert_eq!(deliveries.acknowledgements(ANSWER_LIFETIME).len(), 1);
 }
 
-/// An ACK and a NACK both complete a delivery, but only an ACK is acknowledged; a closed stream has nothing pending.
+/// An ACK and a NACK both complete a delivery, but only an ACK is acknowledged; a closed stream has nothing
+/// pending.
 #[test]
 fn streams_acknowledge_reject_or_disconnect() {
     let mut deliveries = DeliveryTracker::new(&[AskerKind::Stream; 3], 1, ANSWER_LIFETIME, 0.0);
@@ -273,8 +274,8 @@
     assert_eq!((acknowledged(&mut deliveries), deliveries.pending_lines()), (vec![(1, 2)], 0.0));
 }
 
-/// A rollback while a newer change is pending: the old version is published under a new number, and later decisions
-/// take effect only after the release. Drains take effect at once.
+/// A rollback while a newer change is pending: the old version is published under a new number, and later
+/// decisions take effect only after the release. Drains take effect at once.
 #[test]
 fn a_table_is_rolled_back_stays_frozen_and_is_released() {
     let mut tables =
