--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -4,9 +4,9 @@
 use async_io::Async;
 use hdrhistogram::Histogram;
 use oatlever::round::Address;
-use oatlever_askers::Prefixes;
-use oatlever_dns::{serve_udp, Desk, Front, Handler, Via};
-use oatlever_handout::{Answer, Handout, Lives, Who};
+use oatlever_askers::PrefixTrie;
+use oatlever_dns::{serve_udp, Backend, Front, Handler, Transport};
+use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
 use oatlever_tables::View;
 use std::cell::RefCell;
@@ -23,27 +23,35 @@
 
 struct Book {
     fleet: Fleet,
-    handout: Handout,
+    handout: AddressSelector,
     chance: fastrand::Rng,
 }
 
-impl Desk for Book {
-    fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
-        self.fleet.tables.hand_out(asker, class, now);
-        self.fleet.tables.held(asker, class)
+impl Backend for Book {
+    fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
+        self.fleet.tables.record_answer(asker, class, now);
+        self.fleet.tables.view(asker, class)
     }
-    fn addresses(&mut self, asker: u16, class: u16, _: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
-        self.fleet.tables.hand_out(asker, class, now);
-        let view = self.fleet.tables.held(asker, class)?;
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        _: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer> {
+        self.fleet.tables.record_answer(asker, class, now);
+        let view = self.fleet.tables.view(asker, class)?;
         let chance = &mut self.chance;
         let host = Ipv4Addr::from(0x0a00_0000 + chance.u32(..ASKERS));
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
-        self.handout.answer(&view, Who { host, class, group: 100.0 }, most, zone, now, || chance.f64())
+        self.handout
+            .answer(&view, Client { host, class, group_rate: 100.0 }, most, zone, now, || chance.f64())
     }
-    fn knows(&self, _: Ipv4Addr) -> bool {
+    fn is_listed(&self, _: Ipv4Addr) -> bool {
         true
     }
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.fleet.tables.version()
     }
 }
@@ -55,9 +63,9 @@
 }
 
 impl Handler for Served {
-    fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>> {
+    fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>> {
         let now = 1000.0 + self.began.elapsed().as_secs_f64();
-        self.front.borrow_mut().answer(&mut *self.book.borrow_mut(), packet, source, via, now)
+        self.front.borrow_mut().answer(&mut *self.book.borrow_mut(), packet, source, transport, now)
     }
 }
 
@@ -147,15 +155,17 @@
 }
 
 impl Kept {
-    fn handout(self) -> Handout {
-        let lives = Lives { long: 1, short: 1, overstay: 0.5 };
-        let mut handout = Handout::new(lives, 65_536, (1, 2), 0.0);
+    fn handout(self) -> AddressSelector {
+        let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
+        let mut handout = AddressSelector::new(lives, 65_536, (1, 2), 0.0);
         match self {
-            Kept::Nothing => return Handout::plain(lives),
+            Kept::Nothing => return AddressSelector::without_ledger(lives),
             Kept::Ledger => {}
-            Kept::Cold(count) => handout.spare((0..count).map(|n| (server(n), 20.0)).collect(), 0.0),
+            Kept::Cold(count) => {
+                handout.set_cold_budgets((0..count).map(|n| (server(n), 20.0)).collect(), 0.0)
+            }
         }
-        (0..ASKERS).for_each(|n| handout.hosts.count(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
+        (0..ASKERS).for_each(|n| handout.rates.add(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
         handout
     }
 }
@@ -176,7 +186,7 @@
             });
         }
         let settings = settings();
-        let mut prefixes = Prefixes::default();
+        let mut prefixes = PrefixTrie::default();
         prefixes.insert(Ipv4Addr::new(127, 0, 0, 0), 8, 0);
         let served = Served {
             front: RefCell::new(Front::new(&settings, Rc::new(prefixes), 1).expect("a front")),
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -8,13 +8,13 @@
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, HealthCheckResult, List, ListKind, Round, Stream};
-use oatlever_askers::{Prefixes, Presence};
-use oatlever_dns::Desk;
+use oatlever_askers::{PrefixTrie, Presence};
+use oatlever_dns::Backend;
 use oatlever_handout::Answer;
 use oatlever_reports::{Aggregator, AskerInfo, Counters, Exposition, Target};
 use oatlever_roster::{Book, Document, Moment, Taken};
 use oatlever_settings::{checks, Settings};
-use oatlever_tables::{Kind, News, Pull, Review, Tables, Unreviewed, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, NoReview, Review, RoundInputs, Tables, View};
 use oatlever_xds::LoadReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -54,7 +54,7 @@
     pub sums: Aggregator,
     counters: BTreeMap<Target, Counters>,
     owners: Vec<AskerInfo>,
-    pub prefixes: Rc<Prefixes>,
+    pub prefixes: Rc<PrefixTrie>,
     round: Round,
     timers: Timers,
     flush_at: f64,
@@ -69,8 +69,8 @@
 }
 
 /// The askers' address prefixes from the settings.
-fn prefixes(settings: &Settings) -> Prefixes {
-    let mut prefixes = Prefixes::default();
+fn prefixes(settings: &Settings) -> PrefixTrie {
+    let mut prefixes = PrefixTrie::default();
     for (index, asker) in settings.askers.iter().enumerate() {
         for (host, bits) in asker.prefixes.iter().filter_map(|text| checks::prefix(text).ok()) {
             prefixes.insert(host, bits, index as u16);
@@ -90,16 +90,17 @@
         let owners: Vec<AskerInfo> = settings.askers.iter().enumerate().map(owner).collect();
         let host = |text: &String| text.ends_with("/32");
         let kind = |asker: &oatlever_settings::Asker| match asker {
-            a if a.node.is_some() => Kind::Stream,
-            a if a.metrics.is_some() && a.prefixes.iter().all(host) => Kind::Host,
-            _ => Kind::Group,
+            a if a.node.is_some() => AskerKind::Stream,
+            a if a.metrics.is_some() && a.prefixes.iter().all(host) => AskerKind::Host,
+            _ => AskerKind::Group,
         };
-        let kinds: Vec<Kind> = settings.askers.iter().map(kind).collect();
+        let kinds: Vec<AskerKind> = settings.askers.iter().map(kind).collect();
         // A group without counters of its own never counts as away: some member may still hold an answer.
-        let always_up = owners.iter().zip(&kinds).map(|(o, kind)| !o.has_counters && *kind != Kind::Stream);
+        let always_up =
+            owners.iter().zip(&kinds).map(|(o, kind)| !o.has_counters && *kind != AskerKind::Stream);
         let always_up: Vec<bool> = always_up.collect();
         let classes = settings.classes.len();
-        let pull = Pull::new(&kinds, classes, settings.longest_hold(), now);
+        let pull = DeliveryTracker::new(&kinds, classes, settings.longest_hold(), now);
         let names = settings.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             clock: Clock::starting_at(now),
@@ -132,7 +133,7 @@
             settings,
         };
         if let Some(control) = &core.settings.control {
-            core.tables.keep_versions(control.versions);
+            core.tables.set_max_versions(control.versions);
         }
         let up: Vec<u16> = core.presence.up().collect();
         for asker in up {
@@ -157,7 +158,7 @@
 
     /// Records that an asker is alive. True if the asker came up, so that a round has to bind it to a table.
     fn record_activity(&mut self, asker: u16, now: f64) -> bool {
-        let came_up = self.presence.sign(asker, now);
+        let came_up = self.presence.heartbeat(asker, now);
         if came_up {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is up");
             self.push_stream(asker, true);
@@ -167,14 +168,14 @@
 
     /// Takes in that an asker's stream was opened or closed, and runs a round.
     pub fn set_stream(&mut self, asker: u16, up: bool) {
-        if !self.presence.set(asker, up) {
+        if !self.presence.set_connected(asker, up) {
             return;
         }
         let name = &self.settings.askers[usize::from(asker)].name;
         tracing::info!(asker = %name, up, "stream changed");
         self.push_stream(asker, up);
         if !up {
-            self.tables.leave(asker);
+            self.tables.disconnect(asker);
         }
         let now = self.now();
         self.step(now);
@@ -275,7 +276,7 @@
             }
             Target::Server(server) => {
                 let (owners, prefixes) = (&self.owners, &self.prefixes);
-                let owner = |host| prefixes.find(host).0.map(|asker| owners[usize::from(asker)]);
+                let owner = |host| prefixes.longest_match(host).0.map(|asker| owners[usize::from(asker)]);
                 self.sums.add_server_counters(server, &gain, owner);
             }
         }
@@ -302,10 +303,10 @@
 
     /// Runs a round if there is input or something is due. Returns whether it ran one.
     pub fn step(&mut self, now: f64) -> bool {
-        for asker in self.presence.sweep(now) {
+        for asker in self.presence.expire(now) {
             tracing::info!(asker = %self.settings.askers[usize::from(asker)].name, "asker is away");
             self.push_stream(asker, false);
-            self.tables.leave(asker);
+            self.tables.disconnect(asker);
         }
         if now >= self.flush_at {
             let (tries, queries) = self.sums.flush();
@@ -334,21 +335,21 @@
         if self.tables.any_frozen() {
             let warm_within = self.settings.rules.warm_within;
             let cold = self.book.members().iter().filter(|(_, m)| now - m.started < warm_within);
-            self.tables.spare(cold.map(|(server, _)| *server).collect());
+            self.tables.set_cold(cold.map(|(server, _)| *server).collect());
         }
         if let Some(planning) = &mut self.planning {
             let zone = |asker| self.owners.get(usize::from(asker)).map_or(0, |owner: &AskerInfo| owner.zone);
             round.plan = planning.plan(&round, &self.book, zone, &self.settings);
         }
         self.dns_answers.observe(&round, &mut self.sums, &self.settings);
-        let (version, news) = (self.tables.version(), News::of(&round));
-        self.tables.open(now, self.counts.rounds, news);
+        let (version, news) = (self.tables.version(), RoundInputs::from_round(&round));
+        self.tables.begin_round(now, self.counts.rounds, news);
         self.balancer.round(&round, &mut self.tables);
         let actions = match &mut self.guard_review {
-            None => self.tables.close(),
+            None => self.tables.end_round(),
             Some(guard_review) => {
                 guard_review.observe(&round, &self.book, &self.tables, &self.settings);
-                self.tables.close_reviewed(&mut guard_review.review(&self.settings))
+                self.tables.end_round_reviewed(&mut guard_review.review(&self.settings))
             }
         };
         self.dns_answers.update_budgets(&self.tables, &self.book, &self.settings, now);
@@ -364,7 +365,7 @@
             tracing::info!(round = self.counts.rounds, note);
         }
         if self.tables.version() != version {
-            let news: Vec<String> = news.kinds().map(|(kind, count)| format!("{count} {kind}")).collect();
+            let news: Vec<String> = news.nonzero().map(|(kind, count)| format!("{count} {kind}")).collect();
             tracing::debug!(
                 round = self.counts.rounds,
                 version = self.tables.version(),
@@ -381,7 +382,7 @@
     pub fn change_tables<R>(&mut self, change: impl FnOnce(&mut Tables, &mut dyn Review) -> R) -> R {
         let now = self.now();
         match &mut self.guard_review {
-            None => change(&mut self.tables, &mut Unreviewed),
+            None => change(&mut self.tables, &mut NoReview),
             Some(guard_review) => {
                 guard_review.state.now = now;
                 change(&mut self.tables, &mut guard_review.review(&self.settings))
@@ -391,34 +392,41 @@
 
     /// When [`Core::step`] is next due without further input.
     pub fn next_at(&self) -> f64 {
-        let deadlines = [self.timers.next_at(), self.presence.next_at()];
+        let deadlines = [self.timers.next_at(), self.presence.next_check()];
         deadlines.into_iter().flatten().fold(self.flush_at, f64::min)
     }
 }
 
-impl Desk for Core {
-    fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
+impl Backend for Core {
+    fn lookup(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
         // An asker's first query runs a round, which binds the asker to a table before the answer is made.
         if self.record_activity(asker, now) {
             self.step(now);
         }
-        self.tables.hand_out(asker, class, now);
-        self.tables.held(asker, class)
+        self.tables.record_answer(asker, class, now);
+        self.tables.view(asker, class)
     }
 
-    fn addresses(&mut self, asker: u16, class: u16, host: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
-        self.asks(asker, class, now)?;
+    fn lookup_addresses(
+        &mut self,
+        asker: u16,
+        class: u16,
+        host: Ipv4Addr,
+        most: usize,
+        now: f64,
+    ) -> Option<Answer> {
+        self.lookup(asker, class, now)?;
         let Core { dns_answers, tables, book, settings, .. } = self;
         dns_answers.answer(tables, book, (asker, class, host), most, settings, now)
     }
 
-    fn knows(&self, host: Ipv4Addr) -> bool {
+    fn is_listed(&self, host: Ipv4Addr) -> bool {
         let host = host.octets();
         let ports = Address { host, port: 0 }..=Address { host, port: u16::MAX };
-        self.book.members().range(ports.clone()).next().is_some() || self.tables.names(ports)
+        self.book.members().range(ports.clone()).next().is_some() || self.tables.references_any(ports)
     }
 
-    fn version(&self) -> u64 {
+    fn tables_version(&self) -> u64 {
         self.tables.version()
     }
 }
--- a/pilot/src/dns_answers.rs
+++ b/pilot/src/dns_answers.rs
@@ -2,7 +2,7 @@
 //! budgets of cold servers, and reports its state.
 
 use oatlever::round::{Address, Round};
-use oatlever_handout::{Answer, Handout, Lives, Who};
+use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_reports::Aggregator;
 use oatlever_roster::Book;
 use oatlever_settings::Settings;
@@ -13,7 +13,7 @@
 
 /// State behind the answers of the DNS front.
 pub struct DnsAnswers {
-    pub handout: Handout,
+    pub handout: AddressSelector,
     rng: fastrand::Rng,
     /// Queries per second by asker and class, as last reported.
     rates: BTreeMap<(u16, u8), f64>,
@@ -24,11 +24,11 @@
     pub fn new(settings: &Settings, seed: u64, start: f64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let dns = &settings.dns;
-        let short = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
-        let lives = Lives { long: dns.lifetime, short, overstay: dns.overstay };
+        let near_cold = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
+        let lives = Lifetimes { normal: dns.lifetime, near_cold, overstay: dns.overstay };
         let handout = match &dns.ledger {
-            None => Handout::plain(lives),
-            Some(ledger) => Handout::new(lives, ledger.askers, (rng.u64(..), rng.u64(..)), start),
+            None => AddressSelector::without_ledger(lives),
+            Some(ledger) => AddressSelector::new(lives, ledger.askers, (rng.u64(..), rng.u64(..)), start),
         };
         DnsAnswers { handout, rng, rates: BTreeMap::new(), has_ledger: dns.ledger.is_some() }
     }
@@ -39,7 +39,7 @@
         for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.has_ledger) {
             // A scrape may have waited for this round for up to one period.
             let since = round.now - span - settings.reports.period;
-            self.handout.met(server, host, u16::from(class), (queries, span), since, round.now);
+            self.handout.record_queries(server, host, u16::from(class), (queries, span), since, round.now);
         }
         for report in round.queries.iter().filter(|report| report.span > 0.0) {
             self.rates.insert((report.proxy, report.class), report.received / report.span);
@@ -68,22 +68,22 @@
             .filter(|(_, asker)| asker.metrics.is_none() && asker.node.is_none());
         for (index, asker) in resolving.filter(|_| !cold.is_empty()) {
             let index = index as u16;
-            if let Some(table) = tables.bound(index) {
+            if let Some(table) = tables.bound_table(index) {
                 // The usual rate covers all classes together. Adding it once per class would give cold servers
                 // several times their share until the first report.
                 let reported = self.rates.range((index, 0)..=(index, u8::MAX)).map(|(_, rate)| *rate);
                 *rates.entry(table).or_default() += reported.reduce(|a, b| a + b).unwrap_or(asker.usual_rate);
             }
         }
-        for (table, _, index, _) in tables.all() {
+        for (table, _, index, _) in tables.summaries() {
             let Some(rate) = rates.get(&table) else { continue };
             for line in index.lines() {
                 if let Some(budget) = cold.get_mut(&line.server) {
-                    *budget += rate * line.weight / index.all();
+                    *budget += rate * line.weight / index.total_weight();
                 }
             }
         }
-        self.handout.spare(cold, now);
+        self.handout.set_cold_budgets(cold, now);
     }
 
     /// The answer for a host of an asker, or `None` if the asker holds no table.
@@ -96,8 +96,8 @@
         settings: &Settings,
         now: f64,
     ) -> Option<Answer> {
-        let view = tables.held(asker, class)?;
-        let who = Who { host, class, group: self.rate(asker, class as u8, settings) };
+        let view = tables.view(asker, class)?;
+        let who = Client { host, class, group_rate: self.rate(asker, class as u8, settings) };
         let zone = |server: &Address| book.known(server).map(|member| member.zone);
         let rng = &mut self.rng;
         let empty = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
@@ -110,7 +110,7 @@
             return Err("the settings have no /dns/ledger".to_string());
         }
         let ledger = &mut self.handout.ledger;
-        let until = ledger.until(server, now).map(|until| until - now);
+        let until = ledger.last_expiry(server, now).map(|until| until - now);
         Ok(json!({"server": server.to_string(), "queries_a_second": ledger.outstanding(server, now),
                   "let_go_in": until, "budget": self.handout.budget(server)}))
     }
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -45,7 +45,7 @@
     /// Takes in a round's reports and the current list of servers.
     pub fn observe(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
         self.evidence.hear(&round.tries, &round.queries, &round.health, round.now);
-        let named = tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
+        let named = tables.summaries().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let known: BTreeSet<Address> = book.members().keys().copied().chain(named).collect();
         self.evidence.keep_only(&known);
         let entry = |server: Address| {
@@ -61,10 +61,10 @@
         self.state.now = round.now;
         self.evidence.tell(known.into_iter().filter_map(entry), &mut self.state);
         for asker in 0..settings.askers.len() as u16 {
-            self.holders.bind(asker, tables.bound(asker), round.now);
+            self.holders.bind(asker, tables.bound_table(asker), round.now);
         }
         self.holders.expire(round.now);
-        let all = tables.all().map(|(table, ..)| table).chain(self.holders.tables());
+        let all = tables.summaries().map(|(table, ..)| table).chain(self.holders.tables());
         self.state.demand = all.map(|table| (table, self.demand(table, settings))).collect();
         self.guard.expire(round.now);
     }
@@ -81,12 +81,12 @@
 }
 
 impl Review for RoundReview<'_> {
-    fn expect(&mut self, proposals: &BTreeMap<u16, Lines>) {
+    fn prepare(&mut self, proposals: &BTreeMap<u16, Lines>) {
         let parent = &mut *self.parent;
         parent.guard.expect(&parent.state, proposals);
     }
 
-    fn lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
+    fn review_lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
         // Askers bound in this round already count towards the table's demand.
         let parent = &mut *self.parent;
         for asker in users {
@@ -111,7 +111,7 @@
         instead
     }
 
-    fn level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
+    fn review_level(&mut self, table: u16, class: u16, level: f64, tries: u8) -> (f64, u8) {
         let classes = &self.settings.classes;
         let index = usize::from(class);
         let parent = &mut *self.parent;
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -70,39 +70,49 @@
         r,
         "channel_waiting_lines",
         "Table lines not yet in use at every asker",
-        core.tables.pull.waiting(),
+        core.tables.deliveries.pending_lines(),
     );
     add_gauge(
         r,
         "channel_waiting_lines_most",
         "Largest number of waiting lines so far",
-        core.tables.pull.most,
+        core.tables.deliveries.max_pending_lines,
     );
     add_counter(
         r,
         "channel_messages",
         "Table changes ordered, counted once per asker",
-        core.tables.pull.ordered,
+        core.tables.deliveries.message_count,
+    );
+    add_counter(r, "dns_questions", "DNS queries received", front.counters.queries);
+    add_counters(r, ("dns_answers", "DNS answers, by response code", "code"), &front.counters.answers);
+    add_counter(r, "dns_dropped", "Packets that are not a DNS query", front.counters.dropped);
+    add_counter(
+        r,
+        "dns_limited",
+        "Queries over a source's rate limit, not answered",
+        front.counters.rate_limited,
     );
-    add_counter(r, "dns_questions", "DNS queries received", front.counts.questions);
-    add_counters(r, ("dns_answers", "DNS answers, by response code", "code"), &front.counts.answers);
-    add_counter(r, "dns_dropped", "Packets that are not a DNS query", front.counts.dropped);
-    add_counter(r, "dns_limited", "Queries over a source's rate limit, not answered", front.counts.limited);
     add_counter(
         r,
         "dns_shortened",
         "Queries over a source's rate limit, answered truncated",
-        front.counts.shortened,
+        front.counters.rate_limited_truncated,
     );
     add_counter(
         r,
         "dns_truncated",
         "Answers truncated because they exceed the UDP size",
-        front.counts.truncated,
+        front.counters.truncated,
+    );
+    add_counter(r, "dns_proven", "Queries with a valid DNS cookie", front.counters.cookie_verified);
+    add_counter(
+        r,
+        "dns_strangers",
+        "Queries from addresses of no configured asker",
+        front.counters.unknown_clients,
     );
-    add_counter(r, "dns_proven", "Queries with a valid DNS cookie", front.counts.proven);
-    add_counter(r, "dns_strangers", "Queries from addresses of no configured asker", front.counts.strangers);
-    add_gauge(r, "dns_connections", "Open DNS connections over TCP", pilot.gate.open() as f64);
+    add_gauge(r, "dns_connections", "Open DNS connections over TCP", pilot.gate.open_count() as f64);
     if let Some(guard_review) = &core.guard_review {
         let guard = &guard_review.guard;
         add_counters(r, ("guard_findings", "Findings of the guard, by check", "check"), &guard.findings);
@@ -114,19 +124,19 @@
             r,
             "ledger_servers",
             "Servers that unexpired answers may still bring queries",
-            handout.ledger.servers() as f64,
+            handout.ledger.server_count() as f64,
         );
         add_gauge(
             r,
             "ledger_askers",
             "Pairs of asker and class in the ledger",
-            handout.ledger.remembered() as f64,
+            handout.ledger.entry_count() as f64,
         );
         add_counter(
             r,
             "ledger_forgotten",
             "Askers evicted while their answers were unexpired",
-            handout.ledger.forgotten,
+            handout.ledger.evicted,
         );
         add_counter(
             r,
@@ -138,19 +148,19 @@
             r,
             "ledger_latest_seconds",
             "Longest use of a server after its answer had expired",
-            handout.ledger.latest,
+            handout.ledger.max_overstay,
         );
         add_counter(
             r,
             "ledger_passed_over",
             "Times a cold server over its budget was skipped",
-            handout.counts.passed_over,
+            handout.counters.cold_skipped,
         );
         add_counter(
             r,
             "ledger_nothing_better",
             "Answers with only cold servers over their budget",
-            handout.counts.nothing_better,
+            handout.counters.cold_only,
         );
     }
     if let Some(planning) = &core.planning {
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use futures_lite::{future, StreamExt};
 use oatlever::round::Address;
-use oatlever_dns::{Front, Gate, Handler, TcpLimits, Via};
+use oatlever_dns::{Front, Handler, TcpConnections, TcpLimits, Transport};
 use oatlever_fetch as fetch;
 use oatlever_identity::{Files, Grant, Grants, Keys, Node, Peer, To};
 use oatlever_reports::{Exposition, Target};
@@ -33,7 +33,7 @@
 pub struct Pilot {
     pub core: RefCell<Core>,
     pub front: RefCell<Front>,
-    pub gate: Rc<Gate>,
+    pub gate: Rc<TcpConnections>,
     /// Notified when there is input for a round.
     input: Event,
     /// Notified when tables may have changed.
@@ -62,11 +62,11 @@
 }
 
 impl Handler for Pilot {
-    fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>> {
+    fn answer(&self, packet: &[u8], source: SocketAddr, transport: Transport) -> Option<Vec<u8>> {
         let mut core = self.core.borrow_mut();
         let now = core.now();
         let (rounds, mut front) = (core.counts.rounds, self.front.borrow_mut());
-        let answer = front.answer(&mut *core, packet, source, via, now);
+        let answer = front.answer(&mut *core, packet, source, transport, now);
         if core.counts.rounds != rounds {
             self.wake();
             self.tables_changed.notify(usize::MAX);
@@ -132,7 +132,7 @@
     }
 
     fn with_view<R>(&self, asker: u16, class: u16, see: impl FnOnce(Option<View>) -> R) -> R {
-        see(self.pilot.core.borrow().tables.held(asker, class))
+        see(self.pilot.core.borrow().tables.view(asker, class))
     }
 
     fn tables_version(&self) -> u64 {
@@ -146,14 +146,14 @@
     }
 
     fn acknowledged(&self, asker: u16, version: u64) {
-        self.pilot.core.borrow_mut().tables.pull.acknowledge(asker, version);
+        self.pilot.core.borrow_mut().tables.deliveries.acknowledge(asker, version);
     }
 
     fn rejected(&self, asker: u16, version: u64, why: &str) {
         let mut core = self.pilot.core.borrow_mut();
         let name = &core.settings.askers[usize::from(asker)].name;
         tracing::warn!(asker = %name, version, why, "tables refused");
-        core.tables.pull.refuse(asker, version);
+        core.tables.deliveries.reject(asker, version);
     }
 
     fn load_reported(&self, asker: u16, loads: Vec<oatlever_xds::LoadReport>) {
@@ -177,7 +177,8 @@
         });
         // A server that is gone from the list is scraped as long as a table names it: the list may be wrong, and
         // the server may still serve.
-        let named = core.tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
+        let named =
+            core.tables.summaries().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
             let host = SocketAddr::V4(core.book.known(&server)?.metrics?);
@@ -314,10 +315,10 @@
     let front =
         Front::new(&settings, core.prefixes.clone(), seed).map_err(|e| format!("/dns/origin: {e}"))?;
     let limits = &settings.dns.limits;
-    let gate = Gate::new(TcpLimits {
-        connections: limits.connections,
-        connections_each: limits.connections_each,
-        idle: limits.idle,
+    let gate = TcpConnections::new(TcpLimits {
+        max_connections: limits.connections,
+        max_per_source: limits.connections_each,
+        idle_timeout: limits.idle,
     });
     let pilot = Rc::new(Pilot {
         core: RefCell::new(core),
@@ -447,7 +448,7 @@
         let end = future::or(future::or(signal, input), task_failed).await;
         gate.close();
         let deadline = Instant::now() + Duration::from_secs_f64(SHUTDOWN_GRACE);
-        while gate.in_hand() > 0 && Instant::now() < deadline {
+        while gate.pending_answers() > 0 && Instant::now() < deadline {
             Timer::after(Duration::from_millis(10)).await;
         }
         drop(tasks);
--- a/tables/src/history.rs
+++ b/tables/src/history.rs
@@ -1,11 +1,11 @@
-//! The last changes of tables, each with the round that made it and what had come in.
+//! The latest changes of tables, each with the round that made it and the inputs of that round.
 
 use oatlever::round::{Address, Round};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What came in for a round, counted.
+/// Number of inputs of a round by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct RoundInputs {
     pub lists: usize,
     pub streams: usize,
     pub queries: usize,
@@ -15,9 +15,9 @@
     pub timers: usize,
 }
 
-impl News {
-    pub fn of(round: &Round) -> Self {
-        News {
+impl RoundInputs {
+    pub fn from_round(round: &Round) -> Self {
+        RoundInputs {
             lists: round.lists.len(),
             streams: round.streams.len(),
             queries: round.queries.len(),
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The kinds that came in, with their number.
-    pub fn kinds(&self) -> impl Iterator<Item = (&'static str, usize)> {
+    /// The kinds with at least one input, and their numbers.
+    pub fn nonzero(&self) -> impl Iterator<Item = (&'static str, usize)> {
         let all = [
             ("lists", self.lists),
             ("streams", self.streams),
@@ -43,41 +43,41 @@
     }
 }
 
-/// A table changed.
+/// A change of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     pub version: u64,
-    /// s, on the pilot's clock.
+    /// Seconds, on the pilot's clock.
     pub at: f64,
     pub round: u64,
-    pub news: News,
+    pub inputs: RoundInputs,
     pub table: u16,
     /// Server, weight before, weight after.
     pub lines: Vec<(Address, f64, f64)>,
-    /// By class, where levels were ordered: the level and the mode of a further try.
+    /// By class, if levels changed: the admission level and the retry mode.
     pub levels: BTreeMap<u16, (f64, u8)>,
 }
 
+/// A bounded log of changes.
 #[derive(Clone, Debug)]
 pub struct History {
-    most: usize,
+    capacity: usize,
     changes: VecDeque<Change>,
 }
 
 impl History {
-    pub fn keep(most: usize) -> Self {
-        History { most: most.max(1), changes: VecDeque::new() }
+    pub fn with_capacity(capacity: usize) -> Self {
+        History { capacity: capacity.max(1), changes: VecDeque::new() }
     }
 
     pub fn push(&mut self, change: Change) {
-        if self.changes.len() == self.most {
+        if self.changes.len() == self.capacity {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
     }
 
-    /// Newest first.
-    pub fn newest(&self) -> impl Iterator<Item = &Change> {
+    pub fn newest_first(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter().rev()
     }
 }
--- a/xds/src/resources.rs
+++ b/xds/src/resources.rs
@@ -78,7 +78,11 @@
     /// The retry mode that is published, which is none for a class that must not be processed twice.
     fn retry_mode(&self, class: u16, view: Option<&View>) -> u8 {
         let at_most_once = self.classes[usize::from(class)].at_most_once;
-        view.map_or(NO_RETRY, |view| view.tries).min(if at_most_once { NO_RETRY } else { RETRY_UNPROCESSED })
+        view.map_or(NO_RETRY, |view| view.retry_mode).min(if at_most_once {
+            NO_RETRY
+        } else {
+            RETRY_UNPROCESSED
+        })
     }
 
     /// The resource itself, which is encoded once per version.
@@ -216,7 +220,7 @@
     zones: &dyn ZoneLookup,
 ) -> endpoint::ClusterLoadAssignment {
     let mut endpoints_by_zone: BTreeMap<String, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
-    let (lines, total) = view.map_or((&[][..], 1.0), |view| (view.index.lines(), view.index.all()));
+    let (lines, total) = view.map_or((&[][..], 1.0), |view| (view.index.lines(), view.index.total_weight()));
     for line in lines {
         let zone = zones.zone_of(&line.server).unwrap_or_default().to_string();
         let socket = core::SocketAddress {
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Bytes, Incoming};
 use oatlever::round::{Address, Writer};
 use oatlever_identity::{Grants, Keys, Node as GrantedNode, Peer};
-use oatlever_tables::{Kind as AskerKind, News, Pull, Tables, View};
+use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
 use oatlever_xds::{call, methods, serve, Backend, Class, Limits, LoadReport, Server};
 use prost::Message;
@@ -67,10 +67,10 @@
     }
     fn stream_closed(&self, asker: u16) {
         self.0.stream_events.borrow_mut().push((asker, false));
-        self.0.tables.borrow_mut().leave(asker);
+        self.0.tables.borrow_mut().disconnect(asker);
     }
     fn with_view<R>(&self, asker: u16, class: u16, read: impl FnOnce(Option<View>) -> R) -> R {
-        read(self.0.tables.borrow().held(asker, class))
+        read(self.0.tables.borrow().view(asker, class))
     }
     fn tables_version(&self) -> u64 {
         self.0.tables.borrow().version()
@@ -80,11 +80,11 @@
     }
     fn acknowledged(&self, asker: u16, version: u64) {
         self.0.acknowledged.borrow_mut().push((asker, version));
-        self.0.tables.borrow_mut().pull.acknowledge(asker, version);
+        self.0.tables.borrow_mut().deliveries.acknowledge(asker, version);
     }
     fn rejected(&self, asker: u16, version: u64, reason: &str) {
         self.0.rejections.borrow_mut().push(reason.to_string());
-        self.0.tables.borrow_mut().pull.refuse(asker, version);
+        self.0.tables.borrow_mut().deliveries.reject(asker, version);
     }
     fn load_reported(&self, _: u16, reports: Vec<LoadReport>) {
         self.0.load_reports.borrow_mut().extend(reports);
@@ -100,10 +100,10 @@
     pub fn change_tables(&self, write: impl FnOnce(&mut Tables)) {
         let (mut tables, round) = (self.0.tables.borrow_mut(), self.0.rounds.get() + 1);
         self.0.rounds.set(round);
-        tables.open(self.now(), round, News::default());
+        tables.begin_round(self.now(), round, RoundInputs::default());
         write(&mut tables);
         tables.mark(round, false);
-        tables.close();
+        tables.end_round();
         drop(tables);
         self.0.changed.notify(usize::MAX);
     }
@@ -153,7 +153,7 @@
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let changed = Rc::new(Event::new());
-    let tables = Tables::new(500, 2, Pull::new(&[AskerKind::Stream; 500], 2, 1.5, 0.0), 10);
+    let tables = Tables::new(500, 2, DeliveryTracker::new(&[AskerKind::Stream; 500], 2, 1.5, 0.0), 10);
     let backend = TestBackend(Rc::new(State {
         grants,
         tables: RefCell::new(tables),
--- a/xds/tests/front/streams.rs
+++ b/xds/tests/front/streams.rs
@@ -8,7 +8,7 @@
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use hyper::body::Bytes;
 use oatlever::round::Writer;
-use oatlever_tables::Unreviewed;
+use oatlever_tables::NoReview;
 use oatlever_xds::grpc::{framed, Code};
 use oatlever_xds::{methods, Backend, LoadReport};
 use prost::Message;
@@ -183,7 +183,7 @@
             "{}",
             acknowledgements.len()
         );
-        assert_eq!(backend.0.tables.borrow().pull.waiting(), 0.0);
+        assert_eq!(backend.0.tables.borrow().deliveries.pending_lines(), 0.0);
         let pushed = fixture.server.counts.borrow().pushes;
         assert!(pushed <= 203, "{pushed} responses: more than one was sent to the slow proxy");
         drop(slow);
@@ -294,7 +294,7 @@
             .await;
         let acknowledgements = backend.0.tables.borrow_mut().acknowledgements(1e9).len();
         assert!(
-            acknowledgements >= 480 && backend.0.tables.borrow().pull.waiting() == 0.0,
+            acknowledgements >= 480 && backend.0.tables.borrow().deliveries.pending_lines() == 0.0,
             "{acknowledgements} acknowledgements"
         );
         drop(proxies);
@@ -384,7 +384,7 @@
 #[test]
 fn a_rollback_follows_a_pending_change() {
     run(|fixture| async move {
-        fixture.backend.0.tables.borrow_mut().keep_versions(10);
+        fixture.backend.0.tables.borrow_mut().set_max_versions(10);
         let mut call = Call::discover(&fixture, "relay-0", &endpoints_url(), &["search"]).await;
         let first = endpoint_shares(&decode_first(&call.accept(&["search"]).await));
         fixture.backend.change_tables(|tables| tables.weigh(0, server_address(0), 9.0));
@@ -395,7 +395,7 @@
             .0
             .tables
             .borrow_mut()
-            .roll_back(0, 1, fixture.backend.now(), &mut Unreviewed)
+            .roll_back(0, 1, fixture.backend.now(), &mut NoReview)
             .unwrap();
         fixture.backend.0.changed.notify(usize::MAX);
         fixture.backend.change_tables(|tables| tables.weigh(0, server_address(1), 8.0));
@@ -408,7 +408,7 @@
             })
             .await;
         let mut tables = fixture.backend.0.tables.borrow_mut();
-        assert_eq!((tables.acknowledgements(1e9).len(), tables.pull.waiting()), (3, 0.0));
+        assert_eq!((tables.acknowledgements(1e9).len(), tables.deliveries.pending_lines()), (3, 0.0));
     });
 }
 
@@ -493,7 +493,7 @@
         assert!(backend.0.stream_events.borrow().iter().all(|(asker, up)| *up || asker % 2 == 1));
         let mut tables = backend.0.tables.borrow_mut();
         assert!(tables.acknowledgements(1e9).iter().all(|acknowledgement| acknowledgement.proxy % 2 == 0));
-        assert_eq!(tables.pull.waiting(), 0.0);
+        assert_eq!(tables.deliveries.pending_lines(), 0.0);
         drop((slow, fast));
     });
 }
