--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -2,8 +2,8 @@
 
 use oatlever::balance::Balancer;
 use oatlever::round::{
-    Address, Channel, Entry, Levels, List, ListKind, ProxyQueries, QueryClass, Readiness, Round, Rules, Site,
-    Stream, Tries,
+    Address, Channel, Entry, LevelKind, List, ListKind, ProxyQueries, QueryClass, Readiness, Round, Rules,
+    Site, Stream, Tries,
 };
 use oatlever_tables::{Kind, News, Pull, Tables};
 use std::time::Instant;
@@ -34,25 +34,25 @@
             pilots: 1,
             proxies: f64::from(proxies),
             slices: 0,
-            one_owner: false,
+            exclusive_owner: false,
             list_on_request: false,
             probes: false,
-            levels: Levels::Ignored,
-            picks_of_two: false,
+            level_kind: LevelKind::Ignored,
+            power_of_two_choices: false,
             report_period: 1.0,
-            write_life: 0.0,
+            max_write_duration: 0.0,
         };
         let most = f64::from(proxies) * 400.0;
         let channel = Channel {
             lines_per_second: most,
-            most_waiting: most,
+            max_waiting_lines: most,
             header_lines: 0.0,
-            most_messages: 0,
+            max_messages: 0,
             window: 10.0,
-            longest_way: HOLD,
+            max_delivery_delay: HOLD,
         };
         let rules = Rules {
-            ask_within: 10.0,
+            list_deadline: 10.0,
             cold_share: 0.15,
             warm_within: 16.0,
             fall_multiple: 2.5,
--- a/benches/src/streams.rs
+++ b/benches/src/streams.rs
@@ -148,7 +148,7 @@
         tables.open(0.0, 1, News::default());
         for table in 0..3 {
             let moved = if weight > 1.0 { 10 } else { LINES };
-            (0..moved).for_each(|n| tables.weigh(table, server(n), weight + f64::from(n)));
+            (0..moved).for_each(|n| tables.set_weight(table, server(n), weight + f64::from(n)));
         }
         tables.close();
         book.current.set(0);
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -78,8 +78,8 @@
         tables.open(0.0, 1, News::default());
         for n in 0..servers {
             let server = Address { host: [10, 0, 0, n], port: 7000 + u16::from(n) };
-            tables.weigh(0, server, f64::from(n) + 1.0);
-            tables.weigh(1, Address { host: [10, 0, 1, n], ..server }, 1.0);
+            tables.set_weight(0, server, f64::from(n) + 1.0);
+            tables.set_weight(1, Address { host: [10, 0, 1, n], ..server }, 1.0);
         }
         tables.bind(0, 0);
         tables.bind(1, 1);
@@ -217,7 +217,7 @@
     let ask = question("_search._tcp.shops.test", Rtype::SRV);
     assert_eq!(services(&play.ask(&ask, RELAY, Via::Udp)).len(), 3);
     play.book.0.open(1.0, 2, News::default());
-    play.book.0.weigh(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
+    play.book.0.set_weight(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
     play.book.0.close();
     let answer = play.ask(&ask, RELAY, Via::Udp);
     assert_eq!(services(&answer).iter().map(|(_, port, _)| *port).collect::<Vec<_>>(), [7000, 7002]);
--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings an instance starts with: the JSON object of the simulator's first event, which a pilot on
 //! the platform finds in its configuration. Times there are milliseconds; what is given here are seconds.
 
-use oatlever::round::{Channel, Levels, QueryClass, Rules, Site};
+use oatlever::round::{Channel, LevelKind, QueryClass, Rules, Site};
 use serde_json::Value;
 use std::fmt;
 
@@ -216,7 +216,7 @@
     if zones == 0 || zones as f64 >= NUMBERS {
         return settings.get("zones")?.wrong("a list of one zone or more");
     }
-    let most_messages = info.get("reloads-max")?.whole(0.0, MOST)? as usize;
+    let max_messages = info.get("reloads-max")?.whole(0.0, MOST)? as usize;
     let list_on_request = settings.word("registry-mode", &[("pushed", false), ("on_request", true)])?;
     Ok(Start {
         site: Site {
@@ -224,32 +224,33 @@
             pilots: (settings.get("siblings")?.whole(0.0, NUMBERS)? as usize).max(1),
             proxies: info.get("data-plane-size")?.whole(1.0, NUMBERS)?,
             slices: info.get("partitions-n")?.whole(0.0, NUMBERS)? as usize,
-            one_owner: info.flag("one-owner")?,
+            exclusive_owner: info.flag("one-owner")?,
             list_on_request,
             probes: limits.flag("probes")?,
-            levels: info.word(
+            level_kind: info.word(
                 "level-kind",
-                &[("share", Levels::Share), ("rate", Levels::Rate), ("off", Levels::Ignored)],
+                &[("share", LevelKind::Share), ("rate", LevelKind::Rate), ("off", LevelKind::Ignored)],
             )?,
-            picks_of_two: info.word("choice", &[("weighted", false), ("round", false), ("two", true)])?,
+            power_of_two_choices: info
+                .word("choice", &[("weighted", false), ("round", false), ("two", true)])?,
             report_period: info.seconds_above_0("period-ms")?,
-            write_life: info.seconds("write-life-ms")?,
+            max_write_duration: info.seconds("write-life-ms")?,
         },
         classes,
         channel: Channel {
             lines_per_second: info.above_0("egress-per-s")?,
-            most_waiting: info.above_0("queue-cap")?,
+            max_waiting_lines: info.above_0("queue-cap")?,
             header_lines: info.num("head")?,
-            most_messages,
+            max_messages,
             // A number of messages within no time is no limit at all.
-            window: match most_messages {
+            window: match max_messages {
                 0 => info.seconds("update-window-ms")?,
                 _ => info.seconds_above_0("update-window-ms")?,
             },
-            longest_way: info.seconds("transit-max-ms")?,
+            max_delivery_delay: info.seconds("transit-max-ms")?,
         },
         rules: Rules {
-            ask_within: match list_on_request {
+            list_deadline: match list_on_request {
                 true => rules.seconds_above_0("ask-within-ms")?,
                 false => rules.seconds("ask-within-ms")?,
             },
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -360,7 +360,7 @@
                 self.to_check.push(server);
             }
         }
-        for note in actions.notes {
+        for note in actions.log_messages {
             tracing::info!(round = self.counts.rounds, note);
         }
         if self.tables.version() != version {
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -89,7 +89,7 @@
             proxies: start.site.proxies as usize,
         };
         Controller {
-            patience: patience(start.site.report_period, start.channel.longest_way),
+            patience: patience(start.site.report_period, start.channel.max_delivery_delay),
             publisher: Publisher::new(names.classes.clone()),
             balancer: Balancer::new(start.site, start.classes, start.channel, start.rules, seed),
             names,
@@ -280,7 +280,7 @@
         for (after, number) in actions.timers {
             self.timers.set(now + after, number);
         }
-        for note in actions.notes {
+        for note in actions.log_messages {
             tracing::info!(note);
         }
         // Between reports demand fades and says less; without anybody to write to there is none to fade.
@@ -302,7 +302,7 @@
         let silent = self.sessions.silent(now, self.patience);
         self.counts.silent += silent.len() as u64;
         self.counts.longest_round = self.counts.longest_round.max(begun.elapsed().as_secs_f64() * 1e3);
-        Effects { messages, checks, ask_list: actions.follow || actions.fetch, silent }
+        Effects { messages, checks, ask_list: actions.follow_list || actions.fetch_list, silent }
     }
 
     /// When [`Controller::step`] has something to do next, if nothing comes in before.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -106,22 +106,22 @@
     /// The deployment, as the decisions are told of it. Levels are not honoured by those who ask by DNS,
     /// so they are stated as ignored unless every asker is on a stream.
     pub fn site(&self) -> round::Site {
-        let levels = match self.askers.iter().all(|asker| asker.node.is_some()) {
-            true => round::Levels::Share,
-            false => round::Levels::Ignored,
+        let level_kind = match self.askers.iter().all(|asker| asker.node.is_some()) {
+            true => round::LevelKind::Share,
+            false => round::LevelKind::Ignored,
         };
         round::Site {
             zones: self.zones.len(),
             pilots: 1,
             proxies: self.askers.len() as f64,
             slices: 0,
-            one_owner: false,
+            exclusive_owner: false,
             list_on_request: false,
             probes: self.checks.is_some(),
-            levels,
-            picks_of_two: false,
+            level_kind,
+            power_of_two_choices: false,
             report_period: self.reports.period,
-            write_life: 0.0,
+            max_write_duration: 0.0,
         }
     }
 
@@ -149,17 +149,17 @@
     pub fn pull_channel(&self) -> round::Channel {
         round::Channel {
             lines_per_second: self.channel.lines_per_second,
-            most_waiting: self.channel.most_waiting,
+            max_waiting_lines: self.channel.most_waiting,
             header_lines: 0.0,
-            most_messages: self.channel.most_messages,
+            max_messages: self.channel.most_messages,
             window: self.channel.window,
-            longest_way: self.longest_hold(),
+            max_delivery_delay: self.longest_hold(),
         }
     }
 
     pub fn rule_figures(&self) -> round::Rules {
         round::Rules {
-            ask_within: self.roster.period + self.roster.patience,
+            list_deadline: self.roster.period + self.roster.patience,
             cold_share: self.rules.cold_share,
             warm_within: self.rules.warm_within,
             fall_multiple: self.rules.fall_multiple,
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -7,7 +7,7 @@
 
 use crate::chance::Chance;
 use crate::round::{
-    Address, Beliefs, Channel, Levels, List, ListKind, Plan, QueryClass, Readiness, Round, Rules, Site,
+    Address, Beliefs, Channel, LevelKind, List, ListKind, Plan, QueryClass, Readiness, Round, Rules, Site,
     Tries, Writer, MARK_LINES, NO_LIMIT, NO_RETRY, RETRY_UNPROCESSED,
 };
 use crate::state::{
@@ -307,7 +307,7 @@
 
     /// One cycle a report period, longer where messages to a proxy are few.
     fn cycle(&self) -> f64 {
-        let most = self.channel.most_messages as f64;
+        let most = self.channel.max_messages as f64;
         let paced = if most > 0.0 { self.channel.window / (most * ORDINARY_MESSAGES) } else { 0.0 };
         self.site.report_period.max(paced).max(BEAT)
     }
@@ -428,7 +428,7 @@
                 _ => self.times.ask_at = f64::INFINITY,
             }
         }
-        let overdue = self.times.asked_at.is_some_and(|at| now - at > self.rules.ask_within / 2.0);
+        let overdue = self.times.asked_at.is_some_and(|at| now - at > self.rules.list_deadline / 2.0);
         if now >= self.times.ask_at && (self.times.asked_at.is_none() || overdue) {
             self.times.asked_at = Some(now);
             out.follow_list();
@@ -513,7 +513,7 @@
             let failing = (server.part_failed(now, PRIOR_ANSWERS) - usual_failed).max(0.0);
             // Guards against correcting twice: proxies that pick the less loaded of two leave slow servers
             // by themselves. Should help in any jam there; a server that fails slowly keeps more.
-            let power = if self.site.picks_of_two { TWICE } else { 1.0 };
+            let power = if self.site.power_of_two_choices { TWICE } else { 1.0 };
             let due = speed.min(TOP_TRUST).powf(power) * (1.0 - failing / FAILING).max(0.0);
             // Guards against a jam taken for a fault: what still answers at a good rate is full, not
             // broken, and taking all its part away pours it onto the next. Should help in any overload of a
@@ -764,18 +764,18 @@
             false => self.demand(true, now)[place] / demand.len() as f64,
         };
         let levels = levels(self.admission.admitted.min(placed), &benefit, &demand).into_iter().enumerate();
-        let levels = levels.map(|(class, level)| match self.site.levels {
-            Levels::Share => step(level),
-            Levels::Rate if level < 1.0 => (level * offered(class) / here).ceil(),
-            Levels::Rate => NO_LIMIT,
-            Levels::Ignored => 1.0,
+        let levels = levels.map(|(class, level)| match self.site.level_kind {
+            LevelKind::Share => step(level),
+            LevelKind::Rate if level < 1.0 => (level * offered(class) / here).ceil(),
+            LevelKind::Rate => NO_LIMIT,
+            LevelKind::Ignored => 1.0,
         });
         levels.map(|admitted| Level { admitted, retry }).collect()
     }
 
     /// Whether a message may be written to the proxy now.
     fn room(&self, proxy: &Proxy, urgent: bool, now: f64) -> bool {
-        let most = self.channel.most_messages as f64 * if urgent { 1.0 } else { ORDINARY_MESSAGES };
+        let most = self.channel.max_messages as f64 * if urgent { 1.0 } else { ORDINARY_MESSAGES };
         most == 0.0 || (proxy.sent_since(now - self.channel.window) as f64) < most
     }
 
@@ -810,14 +810,18 @@
         let held = ready.map(|(a, s)| (*a, (named.iter().filter(|n| *n == a).count(), most(s))));
         let mut load: BTreeMap<Address, (usize, usize)> = held.filter(|(_, (n, most))| n <= most).collect();
         let joined = self.proxies.values().filter(|p| p.joined).count() as f64;
-        let settle = if self.site.one_owner { self.channel.longest_way + self.site.write_life } else { 0.0 };
+        let settle = if self.site.exclusive_owner {
+            self.channel.max_delivery_delay + self.site.max_write_duration
+        } else {
+            0.0
+        };
         for (slice, (lines, left_at)) in &mut self.slices {
-            let full = self.queue.spent > URGENT_FILL * self.channel.most_waiting / 2.0;
+            let full = self.queue.spent > URGENT_FILL * self.channel.max_waiting_lines / 2.0;
             if full || !lines.is_empty() && lines.iter().all(|a| load.contains_key(a)) {
                 continue;
             }
             for old in lines.extract_if(.., |a| !load.contains_key(a)) {
-                out.weigh(*slice, old, 0.0);
+                out.set_weight(*slice, old, 0.0);
                 *left_at = now;
                 self.queue.spent += (self.channel.header_lines + 1.0) * joined;
             }
@@ -825,7 +829,7 @@
             let next =
                 open.min_by_key(|(_, (n, most))| (*most < usize::MAX, *n)).filter(|_| lines.is_empty());
             if let Some((next, (n, _))) = next.filter(|_| now - *left_at >= settle) {
-                out.weigh(*slice, *next, 1.0);
+                out.set_weight(*slice, *next, 1.0);
                 lines.push(*next);
                 *n += 1;
                 self.queue.spent += (self.channel.header_lines + 1.0) * joined;
@@ -876,13 +880,13 @@
         let turns = (0..levels.len()).filter(|class| held.get(*class) != Some(&Some(levels[*class])));
         let mut turns: Vec<usize> = turns.collect();
         // A level that falls can't wait behind weights.
-        let admitted = if self.site.levels == Levels::Rate { NO_LIMIT } else { 1.0 };
+        let admitted = if self.site.level_kind == LevelKind::Rate { NO_LIMIT } else { 1.0 };
         let open = Level { admitted, retry: NO_RETRY };
         let before = |class: usize| held.get(class).copied().flatten().unwrap_or(open);
         let falls = |class: &usize| levels[*class].falls_from(before(*class));
         let urgent_lines = must + turns.iter().filter(|class| falls(class)).count();
         turns.sort_by_key(|class| !falls(class));
-        let (most, waiting) = (self.channel.most_waiting, self.queue.waiting());
+        let (most, waiting) = (self.channel.max_waiting_lines, self.queue.waiting());
         let room = |fill: f64, used: f64| (fill * most - used) / users.len() as f64;
         let head = self.channel.header_lines + MARK_LINES;
         let urgent = room(URGENT_FILL, waiting).min(head + urgent_lines as f64);
@@ -901,14 +905,14 @@
         let kept = fit.saturating_sub(turns.len()).max(must.min(fit));
         let held = &mut self.tables[place];
         for change in changes.into_iter().take(kept) {
-            out.weigh(table, change.server, change.weight);
+            out.set_weight(table, change.server, change.weight);
             held.lines.insert(change.server, change.weight);
         }
         held.lines.retain(|_, weight| *weight > 0.0);
         held.levels.resize(levels.len(), None);
         for class in turns.into_iter().take(fit.saturating_sub(kept)) {
             held.levels[class] = Some(levels[class]);
-            out.admit(table, 1 << class, levels[class].admitted, levels[class].retry);
+            out.set_level(table, 1 << class, levels[class].admitted, levels[class].retry);
         }
     }
 
@@ -935,7 +939,7 @@
             let table = &self.tables[place];
             let lines = (1 + table.lines.len() + table.levels.len()) as f64;
             let cost = self.channel.header_lines + MARK_LINES + lines;
-            let full = self.queue.waiting() + cost > URGENT_FILL * self.channel.most_waiting;
+            let full = self.queue.waiting() + cost > URGENT_FILL * self.channel.max_waiting_lines;
             if table.lines.is_empty() || full || !self.room(proxy, true, now) {
                 continue;
             }
--- a/src/round.rs
+++ b/src/round.rs
@@ -27,7 +27,7 @@
 
 /// How the proxies honour the share of a class that is let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Levels {
+pub enum LevelKind {
     Share,
     /// Queries a second at each proxy.
     Rate,
@@ -42,33 +42,33 @@
     /// Of all pilots together.
     pub proxies: f64,
     pub slices: usize,
-    pub one_owner: bool,
+    pub exclusive_owner: bool,
     pub list_on_request: bool,
     pub probes: bool,
-    pub levels: Levels,
+    pub level_kind: LevelKind,
     /// A proxy draws two lines by weight and picks the one with fewer of its own queries out.
-    pub picks_of_two: bool,
+    pub power_of_two_choices: bool,
     pub report_period: f64,
-    pub write_life: f64,
+    pub max_write_duration: f64,
 }
 
 /// The pilot's channel to its proxies.
 #[derive(Clone, Debug)]
 pub struct Channel {
     pub lines_per_second: f64,
-    pub most_waiting: f64,
+    pub max_waiting_lines: f64,
     pub header_lines: f64,
     /// Messages to one proxy within `window`; 0 means no such limit.
-    pub most_messages: usize,
+    pub max_messages: usize,
     pub window: f64,
     /// The longest way of a message.
-    pub longest_way: f64,
+    pub max_delivery_delay: f64,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    pub ask_within: f64,
+    pub list_deadline: f64,
     pub cold_share: f64,
     pub warm_within: f64,
     pub fall_multiple: f64,
@@ -228,27 +228,27 @@
     pub checks: Vec<Address>,
     /// Seconds until a timer comes due, and its number.
     pub timers: Vec<(f64, u64)>,
-    pub notes: Vec<String>,
+    pub log_messages: Vec<String>,
     /// The list is to be followed from now on.
-    pub follow: bool,
+    pub follow_list: bool,
     /// The whole list is to be read once.
-    pub fetch: bool,
+    pub fetch_list: bool,
 }
 
 /// Where decisions go. Orders take effect in the order of the calls; what one
 /// round orders becomes one message for each proxy concerned.
 pub trait Writer {
-    fn weigh(&mut self, table: u16, server: Address, weight: f64);
-    fn clear(&mut self, table: u16);
+    fn set_weight(&mut self, table: u16, server: Address, weight: f64);
+    fn clear_table(&mut self, table: u16);
     fn bind(&mut self, proxy: u16, table: u16);
     fn withdraw(&mut self, server: Address, out: bool);
     /// `classes` is as for [`classes_in_mask`], `table` may be [`ALL_TABLES`]; `tries` is a mode of a further
     /// try.
-    fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8);
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8);
     fn check_health(&mut self, server: Address);
     fn mark(&mut self, number: u64, everyone: bool);
     fn follow_list(&mut self);
     fn fetch_list(&mut self);
     fn set_timer(&mut self, after: f64, number: u64);
-    fn note(&mut self, text: &str);
+    fn log(&mut self, text: &str);
 }
--- a/tables/src/lib.rs
+++ b/tables/src/lib.rs
@@ -369,7 +369,7 @@
 }
 
 impl Writer for Tables {
-    fn weigh(&mut self, table: u16, server: Address, weight: f64) {
+    fn set_weight(&mut self, table: u16, server: Address, weight: f64) {
         self.open.touched.insert(table);
         let lines = &mut self.table(table).lines;
         if weight > 0.0 {
@@ -380,7 +380,7 @@
         self.charge(table);
     }
 
-    fn clear(&mut self, table: u16) {
+    fn clear_table(&mut self, table: u16) {
         self.open.touched.insert(table);
         let held = self.table(table);
         held.lines.clear();
@@ -413,7 +413,7 @@
         }
     }
 
-    fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
         let named = classes_in_mask(classes, self.classes);
         let last = self.tables.len().saturating_sub(1) as u16;
         for number in if table == ALL_TABLES { 0..=last } else { table..=table } {
@@ -446,7 +446,7 @@
         self.actions.timers.push((after, number));
     }
 
-    fn note(&mut self, text: &str) {
-        self.actions.notes.push(text.to_string());
+    fn log(&mut self, text: &str) {
+        self.actions.log_messages.push(text.to_string());
     }
 }
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -64,7 +64,7 @@
         for (n, order) in orders.iter().enumerate() {
             match *order {
                 Order::Weigh(table, n, weight) => {
-                    tables.weigh(table, server(n), weight);
+                    tables.set_weight(table, server(n), weight);
                     if weight > 0.0 {
                         plain.lines.insert((table, server(n)), weight);
                     } else {
@@ -72,7 +72,7 @@
                     }
                 }
                 Order::Clear(table) => {
-                    tables.clear(table);
+                    tables.clear_table(table);
                     plain.lines.retain(|(t, _), _| *t != table);
                     plain.levels.retain(|(t, _), _| *t != table);
                 }
@@ -85,7 +85,7 @@
                     if out { plain.out.insert(server(n)) } else { plain.out.remove(&server(n)) };
                 }
                 Order::Admit(table, classes, level) => {
-                    tables.admit(table, classes, level, 1);
+                    tables.set_level(table, classes, level, 1);
                     for class in (0..CLASSES as u16).filter(|c| classes == 0 || classes & (1 << c) != 0) {
                         plain.levels.insert((table, class), level);
                     }
@@ -224,7 +224,7 @@
     let mut tables = Tables::new(1, 1, Pull::new(&[Kind::Host], 1, HOLD, 0.0), 2);
     for round in 1..=3u8 {
         tables.open(f64::from(round), u64::from(round), News { lists: 1, ..News::default() });
-        tables.weigh(0, server(round), 1.0);
+        tables.set_weight(0, server(round), 1.0);
         tables.close();
     }
     let told: Vec<_> = tables.history.newest().map(|c| (c.round, c.news.lists, c.lines.clone())).collect();
@@ -271,7 +271,7 @@
     let mut tables = Tables::new(1, 1, Pull::new(&[Kind::Stream], 1, HOLD, 0.0), 10);
     let order = |tables: &mut Tables, round: u64, weights: &[(u8, f64)]| {
         tables.open(round as f64, round, News::default());
-        weights.iter().for_each(|(n, weight)| tables.weigh(0, server(*n), *weight));
+        weights.iter().for_each(|(n, weight)| tables.set_weight(0, server(*n), *weight));
         tables.bind(0, 0);
         tables.mark(round, false);
         tables.close();
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -167,9 +167,9 @@
 /// What is let in before usage is reported is what the tables place, not everything.
 #[test]
 fn cold_servers_are_spared_before_usage_is_reported() {
-    for levels in [Levels::Share, Levels::Rate] {
-        let mut play = Play::new(Site { levels, ..site() }, rules(), channel(0));
-        play.book.rates = levels == Levels::Rate;
+    for level_kind in [LevelKind::Share, LevelKind::Rate] {
+        let mut play = Play::new(Site { level_kind, ..site() }, rules(), channel(0));
+        play.book.rates = level_kind == LevelKind::Rate;
         play.round(&open(START, cold(SERVERS), fleet()));
         assert_all_served(&play, PROXIES);
         assert_none_pushed_over(&play, SERVERS, CARRIES, START);
--- a/tests/joins.rs
+++ b/tests/joins.rs
@@ -19,7 +19,7 @@
 const ORDERED_WITHIN: u32 = 2;
 
 fn channel_of_a_fleet() -> Channel {
-    Channel { lines_per_second: 8300.0, most_waiting: 8300.0, ..channel(0) }
+    Channel { lines_per_second: 8300.0, max_waiting_lines: 8300.0, ..channel(0) }
 }
 
 /// Reports of one second: each server answers in the same time, but for some.
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -106,7 +106,7 @@
     assert!(book.part(0, 2) < 0.5 * book.part(0, 0), "{:?}", book.tables);
     assert!(book.part(0, 4) > 1.5 * book.part(0, 0), "{:?}", book.tables);
     // Less so where proxies correct for it themselves.
-    let half = fleet_at(Site { picks_of_two: true, ..site() }, 12, report);
+    let half = fleet_at(Site { power_of_two_choices: true, ..site() }, 12, report);
     assert!(
         half.part(0, 2) > 1.3 * book.part(0, 2) && half.part(0, 2) < half.part(0, 0),
         "{:?}",
@@ -186,8 +186,8 @@
 
 #[test]
 fn a_slice_moves_to_a_warm_server_and_an_owner_is_let_end_first() {
-    for one_owner in [false, true] {
-        let site = Site { slices: 2, one_owner, ..site() };
+    for exclusive_owner in [false, true] {
+        let site = Site { slices: 2, exclusive_owner, ..site() };
         let mut play = Play::new(site, rules(), channel(0));
         let mut round = at(50.0);
         let listed = vec![entry(1, 0, Readiness::Ready, 0.0), entry(2, 0, Readiness::Ready, 49.0)];
@@ -200,7 +200,7 @@
         assert!(play.book.table(1).contains_key(&address(1)) && play.book.bound.is_empty());
         play.round(&change(51.0, vec![entry(1, 0, Readiness::Gone, 0.0)]));
         assert!(!play.book.table(1).contains_key(&address(1)));
-        assert_eq!(play.book.table(1).is_empty(), one_owner, "{:?}", play.book.tables);
+        assert_eq!(play.book.table(1).is_empty(), exclusive_owner, "{:?}", play.book.tables);
         play.round(&at(56.0));
         assert_eq!(play.book.table(1).keys().collect::<Vec<_>>(), [&address(3)]);
     }
@@ -262,7 +262,7 @@
 /// A fleet far too large for the channel to send whole tables: the last of many seconds.
 fn large_fleet(seconds: u16, report: impl Fn(u16, u16) -> Option<Tries>) -> Play {
     let site = Site { proxies: 200.0, ..site() };
-    let channel = Channel { most_waiting: 6000.0, ..channel(0) };
+    let channel = Channel { max_waiting_lines: 6000.0, ..channel(0) };
     let mut play = Play::new(site, rules(), channel);
     play.round(&open(100.0, ready(300, 3), (0..200).map(|p| join(p, p % 3)).collect()));
     for second in 1..=seconds {
@@ -314,7 +314,7 @@
 
 #[test]
 fn levels_as_rates_let_everything_in_while_all_is_well() {
-    let mut play = Play::new(Site { levels: Levels::Rate, ..site() }, rules(), channel(0));
+    let mut play = Play::new(Site { level_kind: LevelKind::Rate, ..site() }, rules(), channel(0));
     play.book.rates = true;
     play.round(&open(1.0, vec![entry(1, 0, Readiness::Ready, 0.0)], vec![join(0, 0)]));
     assert!(play.book.levels.values().all(|(level, _)| *level > 1000.0), "{:?}", play.book.levels);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,7 +16,7 @@
 struct Scale {
     servers: u16,
     proxies: u16,
-    most_messages: usize,
+    max_messages: usize,
     /// A channel holds so many lines, and sends as many a second when all is well.
     lines: f64,
     /// How many times slower than stated the channel is; the rules' times grow with it.
@@ -26,7 +26,7 @@
 }
 
 const SMALL: Scale =
-    Scale { servers: 9, proxies: 6, most_messages: 0, lines: 2000.0, slower: 1.0, reports: usize::MAX };
+    Scale { servers: 9, proxies: 6, max_messages: 0, lines: 2000.0, slower: 1.0, reports: usize::MAX };
 /// As the operators set a channel's limit: what can't be put off fits twice.
 const LARGE: Scale = Scale { servers: 300, proxies: 200, lines: 6800.0, reports: 250, ..SMALL };
 
@@ -44,7 +44,7 @@
         match u8::arbitrary(g) % 8 {
             0 => LARGE,
             1 => Scale { slower: 20.0, ..LARGE },
-            2..=4 => Scale { most_messages: 12, ..SMALL },
+            2..=4 => Scale { max_messages: 12, ..SMALL },
             _ => SMALL,
         }
     }
@@ -147,7 +147,7 @@
 
 fn keeps_the_rules(scale: Scale, steps: Vec<Step>) -> bool {
     let lines = scale.lines;
-    let stated = Channel { most_waiting: lines, lines_per_second: lines, ..channel(scale.most_messages) };
+    let stated = Channel { max_waiting_lines: lines, lines_per_second: lines, ..channel(scale.max_messages) };
     let paced = Channel { lines_per_second: lines / scale.slower, ..stated.clone() };
     let site = Site { proxies: f64::from(scale.proxies), ..site() };
     let mut play = Play::new(site, rules(), stated);
@@ -195,9 +195,9 @@
     }
     assert!(book.levels.values().all(|(_, mode)| *mode < 2), "an effect could repeat");
     assert!(book.waiting <= scale.lines, "{} lines wait", book.waiting);
-    for times in book.messages.values().filter(|_| scale.most_messages > 0) {
+    for times in book.messages.values().filter(|_| scale.max_messages > 0) {
         let recent = times.iter().filter(|at| now - **at < 10.0).count();
-        assert!(recent <= scale.most_messages, "{recent} messages to one proxy");
+        assert!(recent <= scale.max_messages, "{recent} messages to one proxy");
     }
     let demand = f64::from(scale.proxies) * 12.0;
     let warm_servers = world.readiness.values().filter(|s| warm(s)).count();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -66,9 +66,9 @@
     let names = names(&node).expect("names");
     let Start { site, classes, channel, rules } = start(&node).expect("settings that start");
     assert_eq!((names.zones.len(), names.classes.len()), (site.zones, classes.len()));
-    let (zones, warm_within, most) = (site.zones as u16, rules.warm_within, channel.most_messages);
-    let (cap, binds) = (channel.most_waiting, !rules.gone_does_not_bind);
-    let rates = site.levels == Levels::Rate;
+    let (zones, warm_within, most) = (site.zones as u16, rules.warm_within, channel.max_messages);
+    let (cap, binds) = (channel.max_waiting_lines, !rules.gone_does_not_bind);
+    let rates = site.level_kind == LevelKind::Rate;
     let count = classes.len() as u8;
     let mut play = Play::of(site, classes, rules, channel);
     play.book.rates = rates;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -26,13 +26,13 @@
         pilots: 1,
         proxies: 6.0,
         slices: 0,
-        one_owner: false,
+        exclusive_owner: false,
         list_on_request: false,
         probes: false,
-        levels: Levels::Share,
-        picks_of_two: false,
+        level_kind: LevelKind::Share,
+        power_of_two_choices: false,
         report_period: 1.0,
-        write_life: 4.0,
+        max_write_duration: 4.0,
     }
 }
 
@@ -40,20 +40,20 @@
     vec![QueryClass { benefit: 1.0, due_time: 1.0 }, QueryClass { benefit: 3.0, due_time: 1.0 }]
 }
 
-pub fn channel(most_messages: usize) -> Channel {
+pub fn channel(max_messages: usize) -> Channel {
     Channel {
         lines_per_second: 2000.0,
-        most_waiting: 2000.0,
+        max_waiting_lines: 2000.0,
         header_lines: 4.0,
-        most_messages,
+        max_messages,
         window: 10.0,
-        longest_way: 0.5,
+        max_delivery_delay: 0.5,
     }
 }
 
 pub fn rules() -> Rules {
     Rules {
-        ask_within: 10.0,
+        list_deadline: 10.0,
         cold_share: 0.15,
         warm_within: 16.0,
         fall_multiple: 2.5,
@@ -187,7 +187,7 @@
 }
 
 impl Writer for Book {
-    fn weigh(&mut self, table: u16, server: Address, weight: f64) {
+    fn set_weight(&mut self, table: u16, server: Address, weight: f64) {
         assert!(weight.is_finite() && weight >= 0.0, "weight {weight}");
         self.charge(table);
         let lines = self.tables.entry(table).or_default();
@@ -197,7 +197,7 @@
             lines.remove(&server);
         }
     }
-    fn clear(&mut self, table: u16) {
+    fn clear_table(&mut self, table: u16) {
         self.charge(table);
         self.tables.remove(&table);
     }
@@ -207,7 +207,7 @@
         *self.lines.entry(proxy).or_default() += 1.0 + held as f64;
     }
     fn withdraw(&mut self, _: Address, _: bool) {}
-    fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
         assert!(level >= 0.0 && (self.rates || level <= 1.0), "level {level}");
         self.charge(table);
         self.levels.insert((table, classes), (level, tries));
@@ -226,5 +226,5 @@
     fn set_timer(&mut self, after: f64, _: u64) {
         assert!(after.is_finite() && after > 0.0);
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
--- a/wirehost/src/frame.rs
+++ b/wirehost/src/frame.rs
@@ -159,12 +159,12 @@
 }
 
 impl Writer for Reply {
-    fn weigh(&mut self, table: u16, server: Address, weight: f64) {
+    fn set_weight(&mut self, table: u16, server: Address, weight: f64) {
         let heft = (weight as f32).to_be_bytes();
         let port = server.port.to_be_bytes();
         self.record(261, &[&table.to_be_bytes(), &server.host, &port, &heft]);
     }
-    fn clear(&mut self, table: u16) {
+    fn clear_table(&mut self, table: u16) {
         self.record(266, &[&table.to_be_bytes()]);
     }
     fn bind(&mut self, proxy: u16, table: u16) {
@@ -174,7 +174,7 @@
         let port = server.port.to_be_bytes();
         self.record(259, &[&server.host, &port, &[u8::from(out)]]);
     }
-    fn admit(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
         let share = (level as f32).to_be_bytes();
         let (table, bits) = (table.to_be_bytes(), classes.to_be_bytes());
         self.record(265, &[&table, &bits, &share, &[tries]]);
@@ -195,7 +195,7 @@
         let span = (after * 1000.0).to_be_bytes();
         self.record(263, &[&span, &number.to_be_bytes()]);
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         let at = (self.tail.len() as u32).to_be_bytes();
         let long = (text.len() as u32).to_be_bytes();
         self.tail.extend_from_slice(text.as_bytes());
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -72,12 +72,12 @@
     let mut reply = frame::Reply::default();
     let server = Address { host: [0x0a, 0x90, 0x11, 0xf2], port: 0x1b84 };
     reply.speak_for(3);
-    reply.weigh(0x75, server, 0.5);
+    reply.set_weight(0x75, server, 0.5);
     reply.set_timer(0.5, 0x4d);
     reply.bind(0x29, 0x75);
-    reply.admit(0x75, 2, 0.5, 1);
+    reply.set_level(0x75, 2, 0.5, 1);
     reply.speak_for(5);
-    reply.note("two servers known");
+    reply.log("two servers known");
     let expected = bytes(
         "00000005 00000095 0000000c
          0105 0003 0075 0a9011f2 1b84 3f000000 0000000000000000
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -159,9 +159,9 @@
     }));
     book.order(|tables| {
         for table in 0..2u8 {
-            tables.weigh(u16::from(table), server(2 * table), 1.0);
-            tables.weigh(u16::from(table), server(2 * table + 1), 3.0);
-            tables.admit(u16::from(table), 2, 0.75, 1);
+            tables.set_weight(u16::from(table), server(2 * table), 1.0);
+            tables.set_weight(u16::from(table), server(2 * table + 1), 3.0);
+            tables.set_level(u16::from(table), 2, 0.75, 1);
         }
     });
     let class = |name: &str, once| Class { name: name.into(), once };
--- a/xds/tests/front/identities.rs
+++ b/xds/tests/front/identities.rs
@@ -206,7 +206,7 @@
         let fresh = next_proxies.sign("spiffe://shops/even/4", DAY);
         let mut new = discover(&play, &next_pilots, Some(&fresh), "relay-2").await.unwrap();
         new.take(&["search"]).await;
-        play.book.order(|tables| tables.weigh(0, server(1), 9.0));
+        play.book.order(|tables| tables.set_weight(0, server(1), 9.0));
         old.take(&["search"]).await;
         new.take(&["search"]).await;
         assert!(play.book.0.up.borrow().iter().all(|(asker, up)| *up || *asker != 4));
--- a/xds/tests/front/streams.rs
+++ b/xds/tests/front/streams.rs
@@ -136,7 +136,7 @@
         // It has answered, so patience does not cut it off: it would only dial and refuse again.
         Timer::after(Duration::from_secs_f64(2.0 * PATIENCE)).await;
         assert_eq!(*book.0.up.borrow(), [(0, true)]);
-        book.order(|tables| tables.weigh(0, server(1), 1.0));
+        book.order(|tables| tables.set_weight(0, server(1), 1.0));
         let next = call.take(&["search"]).await;
         assert_eq!(lines(&decode(&next)).len(), 2);
         let version = book.version();
@@ -153,7 +153,7 @@
         quick.take(&["search"]).await;
         let book = play.book.clone();
         for n in 0..200u8 {
-            book.order(|tables| tables.weigh(0, server(n % 50), f64::from(n) + 10.0));
+            book.order(|tables| tables.set_weight(0, server(n % 50), f64::from(n) + 10.0));
             let response = quick.take(&["search"]).await;
             assert!(!lines(&decode(&response)).is_empty());
         }
@@ -229,7 +229,7 @@
         let mut new = Call::discover(&play, "relay-6", &endpoints(), &["search"]).await;
         new.take(&["search"]).await;
         assert!(old.ended().await);
-        play.book.order(|tables| tables.weigh(0, server(1), 9.0));
+        play.book.order(|tables| tables.set_weight(0, server(1), 9.0));
         assert_eq!(lines(&decode(&new.take(&["search"]).await))[1].2, 0.9);
         assert_eq!(*play.book.0.up.borrow(), [(6, true), (6, false), (6, true)]);
         assert_eq!(play.shared.streams(), 1);
@@ -257,7 +257,7 @@
         let all: Vec<async_executor::Task<()>> = all.collect();
         let book = play.book.clone();
         book.until("all streams", |state| state.up.borrow().len() == 480).await;
-        book.order(|tables| (0..2u16).for_each(|table| tables.weigh(table, server(40), 2.0)));
+        book.order(|tables| (0..2u16).for_each(|table| tables.set_weight(table, server(40), 2.0)));
         let version = book.version();
         book.until("everybody's ACK", |state| {
             state.told.borrow().iter().filter(|(_, held)| *held >= version).count() == 480
@@ -334,7 +334,7 @@
                 missed.clone_from(&held);
             }
             call.sender.send(request("", &[], &response.nonce)).await.unwrap();
-            play.book.order(|tables| tables.weigh(0, server(1), 5.0 + f64::from(round)));
+            play.book.order(|tables| tables.set_weight(0, server(1), 5.0 + f64::from(round)));
         }
     });
 }
@@ -347,12 +347,12 @@
         play.book.0.tables.borrow_mut().keep_versions(10);
         let mut call = Call::discover(&play, "relay-0", &endpoints(), &["search"]).await;
         let first = lines(&decode(&call.take(&["search"]).await));
-        play.book.order(|tables| tables.weigh(0, server(0), 9.0));
+        play.book.order(|tables| tables.set_weight(0, server(0), 9.0));
         let newer = call.next().await;
         assert_ne!(lines(&decode(&newer)), first);
         let back = play.book.0.tables.borrow_mut().roll_back(0, 1, play.book.now(), &mut Unreviewed).unwrap();
         play.book.0.changed.notify(usize::MAX);
-        play.book.order(|tables| tables.weigh(0, server(1), 8.0));
+        play.book.order(|tables| tables.set_weight(0, server(1), 8.0));
         call.sender.send(request("", &newer.type_url, &["search"], &newer.nonce)).await.unwrap();
         assert_eq!(lines(&decode(&call.take(&["search"]).await)), first);
         play.book
@@ -432,7 +432,7 @@
         let up = |state: &State| state.up.borrow().iter().filter(|(_, up)| *up).count();
         book.until("all streams", |state| up(state) == 40).await;
         for n in 0..5u8 {
-            book.order(|tables| (0..2).for_each(|table| tables.weigh(table, server(n), 5.0)));
+            book.order(|tables| (0..2).for_each(|table| tables.set_weight(table, server(n), 5.0)));
         }
         let version = book.version();
         let current = |state: &State| {
