--- a/cost/src/planner.rs
+++ b/cost/src/planner.rs
@@ -189,7 +189,7 @@
         now: f64,
     ) -> Result<Decided, Without> {
         let decided = self.decide(zone_of, zones, now);
-        self.parts = decided.as_ref().ok().map(|decided| decided.orders.parts.clone());
+        self.parts = decided.as_ref().ok().map(|decided| decided.orders.shares.clone());
         decided
     }
 
@@ -220,7 +220,8 @@
             Some(parts) if self.carries(&model, parts) => self.steps(parts, &target),
             _ => target,
         };
-        let orders = round::Plan { parts, carries: carry * (1.0 - self.figures.headroom) };
+        let orders =
+            round::Plan { shares: parts, capacity_per_weight: carry * (1.0 - self.figures.headroom) };
         Ok(Decided { model, plan, orders })
     }
 
--- a/cost/tests/planner.rs
+++ b/cost/tests/planner.rs
@@ -45,7 +45,7 @@
     }
 
     fn plan(&mut self) -> Result<Vec<Vec<f64>>, Without> {
-        self.planner.plan(usize::from, &self.zones, self.now).map(|decided| decided.orders.parts)
+        self.planner.plan(usize::from, &self.zones, self.now).map(|decided| decided.orders.shares)
     }
 
     /// Plans until nothing moves any more.
--- a/guard/src/relief.rs
+++ b/guard/src/relief.rs
@@ -4,7 +4,7 @@
 //! alone refuses nobody. Only where tries fail as well is less let in, at once; it comes back by degrees, as
 //! what was refused is no longer seen to fail.
 
-use oatlever::balance::levels;
+use oatlever::balance::admission_levels;
 
 /// Part of all tries; where more fail, servers are past what they can do.
 const STRAINED: f64 = 0.05;
@@ -34,6 +34,6 @@
 
     /// Levels by class: the classes of the least benefit are refused first (the design's line of benefit).
     pub fn levels(&self, benefit: &[f64], demand: &[f64]) -> Vec<f64> {
-        levels(self.part, benefit, demand)
+        admission_levels(self.part, benefit, demand)
     }
 }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -103,7 +103,12 @@
         if let Some((_, Ok(decided))) = &planning.last {
             measure(r, "plan_cost", "Cost a second of the last plan", decided.plan.cost);
             measure(r, "plan_bound", "What no plan could be cheaper than", decided.plan.bound);
-            measure(r, "plan_carries", "Queries a second of a unit of weight", decided.orders.carries);
+            measure(
+                r,
+                "plan_carries",
+                "Queries a second of a unit of weight",
+                decided.orders.capacity_per_weight,
+            );
         }
     }
     if let Some(streams) = &*pilot.streams.borrow() {
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -90,7 +90,7 @@
                 let row = |parts: &Vec<f64>| -> serde_json::Map<String, Value> {
                     settings.zones.iter().cloned().zip(parts.iter().map(|part| json!(part))).collect()
                 };
-                let parts = settings.zones.iter().cloned().zip(decided.orders.parts.iter().map(row));
+                let parts = settings.zones.iter().cloned().zip(decided.orders.shares.iter().map(row));
                 told["parts"] = parts.map(|(zone, row)| (zone, Value::Object(row))).collect();
                 let plan = &decided.plan;
                 (told["cost"], told["bound"], told["gap"]) =
--- a/pilot/tests/program.rs
+++ b/pilot/tests/program.rs
@@ -369,11 +369,11 @@
     assert!(closed && begun.elapsed() >= Duration::from_millis(900), "{:?}", begun.elapsed());
 
     // Floods of random bytes and of questions from one address; another is answered meanwhile.
-    let mut chance = oatlever::chance::Chance::new(9);
+    let mut rng = oatlever::rng::Rng::new(9);
     let flood = UdpSocket::bind("127.0.0.7:0").unwrap();
     let packet = question();
     for n in 0..20_000 {
-        let noise: Vec<u8> = (0..n % 300).map(|_| (chance.part() * 256.0) as u8).collect();
+        let noise: Vec<u8> = (0..n % 300).map(|_| (rng.f64() * 256.0) as u8).collect();
         let bytes = if n % 2 == 0 { &noise } else { &packet };
         let _ = flood.send_to(bytes, pilot.dns);
         if n % 1000 == 0 {
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -2,10 +2,10 @@
 //!
 //! `Balancer::new` is given what the pilot is told at its start; `Balancer::round` is then called once a
 //! round with all that came in and writes its orders straight into the `Writer` passed with the call. What
-//! both are given is in `round.rs`, the whole interface; `state.rs` remembers, `sums.rs` and `chance.rs`
+//! both are given is in `round.rs`, the whole interface; `state.rs` remembers, `sums.rs` and `rng.rs`
 //! count and draw. The cycle, top to bottom: what came in, trust, demand, capacity, flows, levels, orders.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use crate::round::{
     Address, Beliefs, Channel, LevelKind, List, ListKind, Plan, QueryClass, Readiness, Round, Rules, Site,
     Tries, Writer, MARK_LINES, NO_LIMIT, NO_RETRY, RETRY_UNPROCESSED,
@@ -13,7 +13,7 @@
 use crate::state::{
     Admission, Change, ColdBudget, Level, Proxy, Queue, Server, Table, TableChanges, Times, WantedTable,
 };
-use crate::sums::{least, median, seconds_held, weighted_median};
+use crate::sums::{argmin, effective_span, median, weighted_median};
 use std::collections::BTreeMap;
 
 /// s; how often deferred orders are looked at again. Well under every grace.
@@ -115,7 +115,7 @@
     classes: Vec<QueryClass>,
     channel: Channel,
     rules: Rules,
-    chance: Chance,
+    rng: Rng,
     servers: BTreeMap<Address, Server>,
     proxies: BTreeMap<u16, Proxy>,
     tables: Vec<Table>,
@@ -132,7 +132,7 @@
     times: Times,
 }
 
-pub fn kept_and_spilled(demand: &[f64], capacity: &[f64]) -> Vec<Vec<f64>> {
+pub fn flows_by_capacity(demand: &[f64], capacity: &[f64]) -> Vec<Vec<f64>> {
     let shares = |x: &[f64]| -> Vec<f64> {
         let all = x.iter().sum::<f64>().max(f64::MIN_POSITIVE);
         x.iter().map(|part| part / all).collect()
@@ -158,11 +158,11 @@
 /// Flows of a plan, as far as each zone's trusted capacity carries them; what it can't carry goes to zones
 /// with spare, as ever. Guards against a plan that is older than what happened to its servers since; could
 /// harm where it takes servers for stronger than they are, until their trust shows it.
-pub fn planned(plan: &Plan, demand: &[f64], capacity: &[f64]) -> Vec<Vec<f64>> {
+pub fn flows_by_plan(plan: &Plan, demand: &[f64], capacity: &[f64]) -> Vec<Vec<f64>> {
     let zones = capacity.len();
-    let asked = |to: usize| -> f64 { demand.iter().zip(&plan.parts).map(|(d, parts)| d * parts[to]).sum() };
+    let asked = |to: usize| -> f64 { demand.iter().zip(&plan.shares).map(|(d, parts)| d * parts[to]).sum() };
     let asked: Vec<f64> = (0..zones).map(asked).collect();
-    let most: Vec<f64> = capacity.iter().map(|c| c * plan.carries).collect();
+    let most: Vec<f64> = capacity.iter().map(|c| c * plan.capacity_per_weight).collect();
     let fits = |to: usize| if asked[to] > most[to] { most[to] / asked[to] } else { 1.0 };
     let spare: Vec<f64> = (0..zones).map(|to| (most[to] - asked[to]).max(0.0)).collect();
     let rest = if spare.iter().sum::<f64>() > 0.0 { spare } else { most.clone() };
@@ -171,21 +171,21 @@
         let over: f64 = (0..zones).map(|to| parts[to] * (1.0 - fits(to))).sum();
         (0..zones).map(|to| parts[to] * fits(to) + over * rest[to] / all).collect()
     };
-    plan.parts.iter().map(flow).collect()
+    plan.shares.iter().map(flow).collect()
 }
 
 /// Levels by class: this part of all queries is let in, the most beneficial classes first. Where no
 /// usage by class is known, the part is let in of each: without it, everything would be let in.
-pub fn levels(line: f64, benefit: &[f64], demand: &[f64]) -> Vec<f64> {
+pub fn admission_levels(admitted: f64, benefit: &[f64], demand: &[f64]) -> Vec<f64> {
     if demand.iter().all(|class| *class <= 0.0) {
-        return vec![line.clamp(0.0, 1.0); benefit.len()];
+        return vec![admitted.clamp(0.0, 1.0); benefit.len()];
     }
     let mut order: Vec<usize> = (0..benefit.len()).collect();
     order.sort_by(|&a, &b| benefit[b].total_cmp(&benefit[a]));
-    let mut left = line * demand.iter().sum::<f64>();
+    let mut left = admitted * demand.iter().sum::<f64>();
     let mut out = vec![1.0; benefit.len()];
     for class in order {
-        if line < 1.0 && demand[class] > 0.0 {
+        if admitted < 1.0 && demand[class] > 0.0 {
             out[class] = (left / demand[class]).clamp(0.0, 1.0);
             left -= demand[class] * out[class];
         }
@@ -202,7 +202,7 @@
             classes,
             channel,
             rules,
-            chance: Chance::new(seed),
+            rng: Rng::new(seed),
             servers: BTreeMap::new(),
             proxies: BTreeMap::new(),
             tables,
@@ -394,7 +394,7 @@
                 let mut open = sizes.clone();
                 let held = server.groups.iter().filter(|group| **group < groups);
                 held.for_each(|group| open[*group] = f64::INFINITY);
-                let (from, to) = (server.groups[seat], least(&open, || self.chance.part()));
+                let (from, to) = (server.groups[seat], argmin(&open, || self.rng.f64()));
                 if from >= groups || sizes[from] - sizes[to] > server.size * UNEVEN {
                     sizes[to] += server.size;
                     if let Some(left) = sizes.get_mut(from) {
@@ -405,7 +405,7 @@
             }
         }
         for proxy in self.proxies.values_mut().filter(|p| p.joined && p.group >= groups) {
-            proxy.group = least(&rates[proxy.zone], || self.chance.part());
+            proxy.group = argmin(&rates[proxy.zone], || self.rng.f64());
             rates[proxy.zone][proxy.group] += proxy.rate;
         }
     }
@@ -422,7 +422,7 @@
             match list.kind {
                 ListKind::Failed => {
                     self.times.asked_at = None;
-                    self.times.ask_at = now + BEAT * (1.0 + self.chance.part());
+                    self.times.ask_at = now + BEAT * (1.0 + self.rng.f64());
                 }
                 ListKind::Cached => {}
                 _ => self.times.ask_at = f64::INFINITY,
@@ -466,7 +466,7 @@
         };
         let age = (now - since).max(0.0);
         let came: f64 = proxy.came.iter().map(|c| c.read(now)).sum();
-        let held = seconds_held(DEMAND_SPAN, self.site.report_period, age);
+        let held = effective_span(DEMAND_SPAN, self.site.report_period, age);
         let usual_span = if proxy.rate > 0.0 { USUAL_SPAN * (-age / DEMAND_SPAN).exp() } else { 0.0 };
         (came + proxy.rate * usual_span) / (held + usual_span)
     }
@@ -574,7 +574,7 @@
         self.admission.pressure = weighted_median(each.collect()).unwrap_or(0.0);
         let Some(since) = self.times.first_heard else { return };
         let period = self.site.report_period;
-        let span = seconds_held(SERVER_SPAN, period, now - since + period);
+        let span = effective_span(SERVER_SPAN, period, now - since + period);
         let (answered, offered) = (answers / span, self.demand(false, now).iter().sum::<f64>());
         if weight > 0.0 {
             self.admission.observed_capacity = self.admission.observed_capacity.max(answered / weight);
@@ -646,7 +646,7 @@
     fn wanted_tables(&self, demand: &[f64], now: f64) -> Vec<WantedTable> {
         let zones = self.site.zones;
         let blind = self.times.heard_at.is_none_or(|at| now - at > STALE);
-        let plan = self.plan.as_ref().filter(|(at, plan)| now - at <= STALE && plan.parts.len() == zones);
+        let plan = self.plan.as_ref().filter(|(at, plan)| now - at <= STALE && plan.shares.len() == zones);
         let plan = plan.map(|(_, plan)| plan);
         let mut wanted = vec![BTreeMap::new(); self.tables.len()];
         for (group, demand) in demand.chunks(zones).enumerate() {
@@ -666,8 +666,8 @@
             let flows = match plan {
                 _ if blind => vec![count.iter().map(|c| c / all).collect(); zones],
                 // What a plan crowds it crowds on purpose, and knows what servers carry.
-                Some(plan) => planned(plan, demand, &trusted),
-                None => kept_and_spilled(demand, &capacity),
+                Some(plan) => flows_by_plan(plan, demand, &trusted),
+                None => flows_by_capacity(demand, &capacity),
             };
             for (address, server) in members {
                 let part = server.weight * server.trust / parts[server.zone];
@@ -757,13 +757,14 @@
             steps => steps.round() * LEVEL_STEP,
         };
         let here = self.proxies.values().filter(|p| p.joined && self.place(p) == place).count().max(1) as f64;
-        let held = seconds_held(DEMAND_SPAN, self.site.report_period, STALE);
+        let held = effective_span(DEMAND_SPAN, self.site.report_period, STALE);
         let offered = |class: usize| match demand.iter().any(|class| *class > 0.0) {
             true => came(Some(place), class) / held,
             // Before usage is reported a proxy may bring its rate in any class.
             false => self.demand(true, now)[place] / demand.len() as f64,
         };
-        let levels = levels(self.admission.admitted.min(placed), &benefit, &demand).into_iter().enumerate();
+        let levels =
+            admission_levels(self.admission.admitted.min(placed), &benefit, &demand).into_iter().enumerate();
         let levels = levels.map(|(class, level)| match self.site.level_kind {
             LevelKind::Share => step(level),
             LevelKind::Rate if level < 1.0 => (level * offered(class) / here).ceil(),
--- a/src/round.rs
+++ b/src/round.rs
@@ -169,9 +169,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Part of a zone's queries (first) that each zone should get; a zone's parts make 1.
-    pub parts: Vec<Vec<f64>>,
+    pub shares: Vec<Vec<f64>>,
     /// Queries a second that a unit of trusted weight may be asked for.
-    pub carries: f64,
+    pub capacity_per_weight: f64,
 }
 
 /// All that came in for one pilot at one moment, each kind in the order it came.
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember of servers, proxies and tables. Nothing here decides anything.
 
 use crate::round::{Acknowledgement, Address, Entry, ProxyQueries, Readiness, Tries};
-use crate::sums::Fading;
+use crate::sums::DecayingSum;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
@@ -20,11 +20,11 @@
     pub trust: f64,
     /// Queries have spoken against it since its start.
     pub judged: bool,
-    pub tries: Fading,
-    pub failed: Fading,
-    pub answers: Fading,
+    pub tries: DecayingSum,
+    pub failed: DecayingSum,
+    pub answers: DecayingSum,
     /// Seconds that its answers took together.
-    pub time: Fading,
+    pub time: DecayingSum,
     pub answered_at: f64,
 }
 
@@ -41,10 +41,10 @@
             started: entry.started,
             trust,
             judged: false,
-            tries: Fading::over(span),
-            failed: Fading::over(span),
-            answers: Fading::over(span),
-            time: Fading::over(span),
+            tries: DecayingSum::new(span),
+            failed: DecayingSum::new(span),
+            answers: DecayingSum::new(span),
+            time: DecayingSum::new(span),
             answered_at: f64::NEG_INFINITY,
         }
     }
@@ -94,7 +94,7 @@
     /// Queries a second it usually gets.
     pub rate: f64,
     /// Queries that came, by class.
-    pub came: Vec<Fading>,
+    pub came: Vec<DecayingSum>,
     pub since: Option<f64>,
     /// When messages were written to it.
     pub sent: VecDeque<f64>,
@@ -103,7 +103,7 @@
 impl Proxy {
     /// Counts queries that came to it, to fade over `span`.
     pub fn count(&mut self, queries: &ProxyQueries, classes: usize, span: f64, now: f64) {
-        self.came.resize(classes, Fading::over(span));
+        self.came.resize(classes, DecayingSum::new(span));
         self.since.get_or_insert(now - queries.span);
         if let Some(came) = self.came.get_mut(usize::from(queries.class)) {
             came.add(now, queries.received);
--- a/src/sums.rs
+++ b/src/sums.rs
@@ -1,16 +1,16 @@
 //! Sums that fade with time; brought up to date when they are read or added to.
 
 #[derive(Clone, Copy, Debug)]
-pub struct Fading {
+pub struct DecayingSum {
     span: f64,
     sum: f64,
     at: f64,
 }
 
-impl Fading {
+impl DecayingSum {
     /// What is added fades by a factor of e each `span` seconds.
-    pub fn over(span: f64) -> Self {
-        Fading { span, sum: 0.0, at: 0.0 }
+    pub fn new(span: f64) -> Self {
+        DecayingSum { span, sum: 0.0, at: 0.0 }
     }
 
     pub fn add(&mut self, now: f64, amount: f64) {
@@ -28,7 +28,7 @@
 
 /// The seconds that such a sum stands for, right after one of the amounts that have come each
 /// `period` for `age` seconds: sum over seconds is the rate.
-pub fn seconds_held(span: f64, period: f64, age: f64) -> f64 {
+pub fn effective_span(span: f64, period: f64, age: f64) -> f64 {
     let faded = |time: f64| 1.0 - (-time / span).exp();
     let period = period.max(1e-3);
     period * faded(age.max(period)) / faded(period)
@@ -50,8 +50,8 @@
     found.map(|(value, _)| *value)
 }
 
-/// The place of the least; `chance` decides between equals.
-pub fn least(values: &[f64], mut chance: impl FnMut() -> f64) -> usize {
-    let places = values.iter().enumerate().map(|(place, value)| (*value, chance(), place));
+/// The place of the least; `rng` decides between equals.
+pub fn argmin(values: &[f64], mut rng: impl FnMut() -> f64) -> usize {
+    let places = values.iter().enumerate().map(|(place, value)| (*value, rng(), place));
     places.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))).map_or(0, |found| found.2)
 }
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -181,9 +181,9 @@
         let index = Index::of(lines.clone());
         let open: Vec<_> = lines.iter().filter(|(_, weight)| **weight > 0.0).collect();
         let (mut spread, mut count, rounds) = (Spread::from(0.3), BTreeMap::new(), 2000);
-        let mut chance = oatlever::chance::Chance::new(3);
+        let mut rng = oatlever::rng::Rng::new(3);
         for _ in 0..rounds {
-            let drawn = index.draw(usize::from(most % 5) + 1, spread.step(), || chance.part());
+            let drawn = index.draw(usize::from(most % 5) + 1, spread.step(), || rng.f64());
             let different: BTreeSet<_> = drawn.iter().map(|line| line.server).collect();
             let wanted = (usize::from(most % 5) + 1).min(open.len());
             if different.len() != drawn.len() || drawn.len() != wanted {
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use oatlever::balance::{kept_and_spilled, levels, planned};
+use oatlever::balance::{admission_levels, flows_by_capacity, flows_by_plan};
 use oatlever::round::*;
 use support::*;
 
@@ -13,29 +13,29 @@
 #[test]
 fn a_short_zone_keeps_its_share_and_spills_by_spare() {
     // Demand 40/40/20, capacity 25/50/25: zone 0 keeps 25/40, the others have 10 and 5 to spare.
-    let flows = kept_and_spilled(&[40.0, 40.0, 20.0], &[25.0, 50.0, 25.0]);
+    let flows = flows_by_capacity(&[40.0, 40.0, 20.0], &[25.0, 50.0, 25.0]);
     let expected = [[0.625, 0.25, 0.125], [0.0, 1.0, 0.0], [0.0, 0.0, 1.0]];
     for (flow, wanted) in flows.iter().zip(expected) {
         assert!(flow.iter().zip(wanted).all(|(a, b)| close(*a, b)), "{flow:?}");
     }
-    let flows = kept_and_spilled(&[10.0, 10.0], &[0.0, 5.0]);
+    let flows = flows_by_capacity(&[10.0, 10.0], &[0.0, 5.0]);
     assert!(close(flows[0][1], 1.0) && close(flows[1][1], 1.0), "no servers here: {flows:?}");
-    for flows in [kept_and_spilled(&[0.0, 0.0], &[1.0, 0.0]), kept_and_spilled(&[1.0, 0.0], &[0.0, 0.0])] {
+    for flows in [flows_by_capacity(&[0.0, 0.0], &[1.0, 0.0]), flows_by_capacity(&[1.0, 0.0], &[0.0, 0.0])] {
         assert!(flows.iter().flatten().all(|part| part.is_finite() && *part >= 0.0), "{flows:?}");
     }
 }
 
 #[test]
 fn a_plan_holds_as_far_as_zones_carry_it() {
-    let plan = Plan { parts: vec![vec![0.25, 0.75], vec![0.0, 1.0]], carries: 10.0 };
+    let plan = Plan { shares: vec![vec![0.25, 0.75], vec![0.0, 1.0]], capacity_per_weight: 10.0 };
     // Zone 1 is asked for 30 + 20 of the 80 it carries; then it carries 25, and half of it spills.
-    let fits = planned(&plan, &[40.0, 20.0], &[9.0, 8.0]);
+    let fits = flows_by_plan(&plan, &[40.0, 20.0], &[9.0, 8.0]);
     assert!(close(fits[0][0], 0.25) && close(fits[1][1], 1.0), "{fits:?}");
-    let spilled = planned(&plan, &[40.0, 20.0], &[9.0, 2.5]);
+    let spilled = flows_by_plan(&plan, &[40.0, 20.0], &[9.0, 2.5]);
     assert!(close(spilled[0][0], 0.625) && close(spilled[1][0], 0.5), "{spilled:?}");
     // Nobody has anything to spare, or anybody at all.
     for capacity in [[0.5, 0.5], [0.0, 1.0], [0.0, 0.0]] {
-        let flows = planned(&plan, &[40.0, 20.0], &capacity);
+        let flows = flows_by_plan(&plan, &[40.0, 20.0], &capacity);
         assert!(flows.iter().flatten().all(|part| part.is_finite() && *part >= 0.0), "{flows:?}");
         assert!(capacity[1] == 0.0 || flows.iter().all(|f| close(f.iter().sum(), 1.0)), "{flows:?}");
     }
@@ -60,7 +60,7 @@
         }
         [0, 2, 4].iter().map(|n| play.book.part(1, *n)).sum::<f64>()
     };
-    let cheap = Plan { parts: vec![vec![1.0, 0.0]; 2], carries: 100.0 };
+    let cheap = Plan { shares: vec![vec![1.0, 0.0]; 2], capacity_per_weight: 100.0 };
     assert!(go(6, None) < 0.01);
     assert!(close(go(3, Some(cheap.clone())), 1.0));
     assert!(go(3, Some(Plan::default())) < 0.01);
@@ -71,7 +71,7 @@
 #[test]
 fn the_line_of_benefit_lets_in_the_most_beneficial_first() {
     // 60 of 100 queries: all 20 of benefit 3, all 30 of benefit 2, 10 of the 50 of benefit 1.
-    let levels = levels(0.6, &[1.0, 3.0, 2.0], &[50.0, 20.0, 30.0]);
+    let levels = admission_levels(0.6, &[1.0, 3.0, 2.0], &[50.0, 20.0, 30.0]);
     assert!(close(levels[0], 0.2) && close(levels[1], 1.0) && close(levels[2], 1.0), "{levels:?}");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -136,7 +136,7 @@
             // Some runs have plans, good or not: everything to one zone, far past what it carries or well within.
             round.plan = (bad % 3 == 0).then(|| {
                 let row = (0..3).map(|zone| f64::from(u8::from(zone == bad % 9 / 3))).collect();
-                Plan { parts: vec![row; 3], carries: f64::from(bad % 7) * 10.0 }
+                Plan { shares: vec![row; 3], capacity_per_weight: f64::from(bad % 7) * 10.0 }
             });
             world.told = (world.told + scale.reports.min(pairs.len())) % pairs.len().max(1);
         }
