--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! oatlever: a central planner behind a layer of plain proxies.
 //!
-//! `balance` holds every decision, `round` the interface it is called through,
-//! `state` what it remembers, `sums` and `rng` the helpers it counts and draws with.
+//! `balance` makes the decisions, `round` is their interface, `state` holds what they remember between
+//! rounds, and `sums` and `rng` are numeric helpers.
 
 pub mod balance;
 pub mod rng;
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,4 +1,4 @@
-//! Rng for one pilot: a permuted congruential generator (PCG-XSH-RR 64/32).
+//! Random number generator of a pilot: a permuted congruential generator (PCG-XSH-RR 64/32).
 
 pub struct Rng {
     state: u64,
@@ -18,7 +18,7 @@
         mixed.rotate_right((old >> 59) as u32)
     }
 
-    /// A number from 0 up to, but not including, 1.
+    /// A number in the range [0, 1).
     pub fn f64(&mut self) -> f64 {
         f64::from(self.next_u32()) / 4_294_967_296.0
     }
--- a/src/round.rs
+++ b/src/round.rs
@@ -1,11 +1,11 @@
-//! The interface of the decisions: what is read at start, what came in during a
-//! round, and the writer that orders go to. Nothing here decides anything.
+//! The interface of the decisions: the settings at start, the inputs of a round, and the writer that receives
+//! the orders. This module decides nothing.
 //!
-//! Times are seconds; ids are as the wire gives them.
+//! Times are in seconds; ids are those of the wire protocol.
 
 use std::fmt;
 
-/// A server, as the list names it.
+/// Address of a server, as in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address {
     pub host: [u8; 4],
@@ -25,28 +25,28 @@
     pub due_time: f64,
 }
 
-/// How the proxies honour the share of a class that is let in.
+/// How proxies enforce the admission level of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelKind {
     Share,
-    /// Queries a second at each proxy.
+    /// As a number of queries a second at each proxy.
     Rate,
     Ignored,
 }
 
-/// The deployment, as far as a pilot is told.
+/// The deployment, as stated in the pilot's settings.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub zones: usize,
     pub pilots: usize,
-    /// Of all pilots together.
+    /// Number of proxies of all pilots together.
     pub proxies: f64,
     pub slices: usize,
     pub exclusive_owner: bool,
     pub list_on_request: bool,
     pub probes: bool,
     pub level_kind: LevelKind,
-    /// A proxy draws two lines by weight and picks the one with fewer of its own queries out.
+    /// Whether a proxy draws two servers by weight and picks the one with fewer of its own queries in flight.
     pub power_of_two_choices: bool,
     pub report_period: f64,
     pub max_write_duration: f64,
@@ -58,14 +58,14 @@
     pub lines_per_second: f64,
     pub max_waiting_lines: f64,
     pub header_lines: f64,
-    /// Messages to one proxy within `window`; 0 means no such limit.
+    /// Messages to one proxy within `window`; 0 means no limit.
     pub max_messages: usize,
     pub window: f64,
-    /// The longest way of a message.
+    /// The longest time that a message takes to arrive.
     pub max_delivery_delay: f64,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that every order must keep.
 #[derive(Clone, Debug)]
 pub struct Rules {
     pub list_deadline: f64,
@@ -89,7 +89,7 @@
     pub kind: u8,
     pub readiness: Readiness,
     pub weight: f64,
-    /// Clock time of its last start; 0 means long ago.
+    /// Time of its last start, on the clock of `Round::now`; 0 means long ago.
     pub started: f64,
 }
 
@@ -107,17 +107,17 @@
     pub entries: Vec<Entry>,
 }
 
-/// A proxy's stream came up, or broke.
+/// A proxy's stream came up or broke.
 #[derive(Clone, Debug)]
 pub struct Stream {
     pub proxy: u16,
     pub up: bool,
     pub zone: u16,
-    /// Queries a second it usually gets.
+    /// Queries a second that the proxy usually receives.
     pub rate: f64,
 }
 
-/// Queries of a class that came to a proxy.
+/// Queries of a class that a proxy received.
 #[derive(Clone, Debug)]
 pub struct ProxyQueries {
     pub proxy: u16,
@@ -126,7 +126,7 @@
     pub span: f64,
 }
 
-/// What the proxies of a zone met at a server.
+/// Tries that the proxies of a zone made at a server.
 #[derive(Clone, Debug)]
 pub struct Tries {
     pub server: Address,
@@ -150,7 +150,7 @@
     pub number: u64,
 }
 
-/// The store places a slice in this pilot's charge, or takes it away.
+/// The store assigns a slice to this pilot or takes it away.
 #[derive(Clone, Debug)]
 pub struct SliceAssignment {
     pub slice: u16,
@@ -159,22 +159,23 @@
     pub weights: Vec<(Address, f64)>,
 }
 
+/// A message from another instance.
 #[derive(Clone, Debug)]
 pub struct PeerMessage {
     pub from: u16,
     pub payload: Vec<u8>,
 }
 
-/// Where queries should go by what servers cost.
+/// A cost-based plan of where queries should go.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Part of a zone's queries (first) that each zone should get; a zone's parts make 1.
+    /// Share of each zone's queries (first index) that each zone should get; a zone's shares add up to 1.
     pub shares: Vec<Vec<f64>>,
-    /// Queries a second that a unit of trusted weight may be asked for.
+    /// Queries a second that a unit of trusted weight may be sent.
     pub capacity_per_weight: f64,
 }
 
-/// All that came in for one pilot at one moment, each kind in the order it came.
+/// All inputs of one pilot at one moment, each kind in order of arrival.
 #[derive(Clone, Debug, Default)]
 pub struct Round {
     pub now: f64,
@@ -187,68 +188,80 @@
     pub slice_assignments: Vec<SliceAssignment>,
     pub peer_messages: Vec<PeerMessage>,
     pub timers: Vec<u64>,
-    /// Where servers have prices: the plan that holds from now on; one without parts ends it.
+    /// The plan that applies from now on, where servers have prices; one without shares ends the present
+    /// plan.
     pub plan: Option<Plan>,
 }
 
-/// What a pilot takes for true of load and health, for whoever sets it beside what passed.
+/// A pilot's estimates of load and health, for comparison with what really happened.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Beliefs {
-    /// Queries a second that come to the joined proxies.
+    /// Queries a second that the joined proxies receive.
     pub demand: f64,
-    /// Part of them that is let in, and the pressure it goes by.
+    /// Share of them that is admitted, and the pressure that determines it.
     pub let_in: f64,
     pub pressure: f64,
-    /// Servers that are ready; those of them that are cold, and those that have lost trust.
+    /// Number of ready servers, and how many of them are cold or have lost trust.
     pub ready: usize,
     pub cold: usize,
     pub distrusted: usize,
 }
 
-/// Modes of a further try. One after any failure could run an effect twice; it has no name here.
+/// Retry modes. The mode that retries after any failure has no constant, as it could repeat a query's effect.
 pub const NO_RETRY: u8 = 0;
 pub const RETRY_UNPROCESSED: u8 = 1;
-/// Where levels are queries a second: more than any proxy gets.
+/// No limit, where levels are queries a second: more than any proxy receives.
 pub const NO_LIMIT: f64 = 1e6;
-/// What a mark adds to each message, in lines.
+/// Lines that a mark adds to each message.
 pub const MARK_LINES: f64 = 1.0;
 
-/// Levels that are ordered for this table hold in all.
+/// Levels set for this table apply to all tables.
 pub const ALL_TABLES: u16 = u16::MAX;
 
-/// Of so many classes, those that a sum of 2^place names; 0 names all.
-pub fn classes_in_mask(sum: u16, count: usize) -> impl Iterator<Item = u16> + Clone {
-    (0..count as u16).filter(move |class| sum == 0 || sum & (1 << class) != 0)
+/// The classes, out of `count`, whose bits are set in `mask`; all of them if it is 0.
+pub fn classes_in_mask(mask: u16, count: usize) -> impl Iterator<Item = u16> + Clone {
+    (0..count as u16).filter(move |class| mask == 0 || mask & (1 << class) != 0)
 }
 
-/// What a round asks of the program itself, beside tables and messages.
+/// What a round asks of the surrounding program, besides tables and messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
     /// Servers to check.
     pub checks: Vec<Address>,
-    /// Seconds until a timer comes due, and its number.
+    /// Seconds until a timer is due, and its number.
     pub timers: Vec<(f64, u64)>,
     pub log_messages: Vec<String>,
-    /// The list is to be followed from now on.
+    /// Whether to subscribe to the list from now on.
     pub follow_list: bool,
-    /// The whole list is to be read once.
+    /// Whether to read the whole list once.
     pub fetch_list: bool,
 }
 
-/// Where decisions go. Orders take effect in the order of the calls; what one
-/// round orders becomes one message for each proxy concerned.
+/// Receives the orders of a round. They take effect in the order of the calls and become one message to each
+/// proxy concerned.
 pub trait Writer {
+    /// Sets a server's weight in a table; 0 removes it.
     fn set_weight(&mut self, table: u16, server: Address, weight: f64);
+    /// Removes all weights and levels of a table.
     fn clear_table(&mut self, table: u16);
+    /// Makes a proxy use a table.
     fn bind(&mut self, proxy: u16, table: u16);
-    fn withdraw(&mut self, server: Address, out: bool);
-    /// `classes` is as for [`classes_in_mask`], `table` may be [`ALL_TABLES`]; `tries` is a mode of a further
-    /// try.
-    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8);
+    /// Takes a server out of all tables, or puts it back where `withdrawn` is false.
+    fn withdraw(&mut self, server: Address, withdrawn: bool);
+    /// Sets the admission level of classes. `classes` is a mask as for [`classes_in_mask`], `table` may be
+    /// [`ALL_TABLES`], and `retry` is a retry mode.
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, retry: u8);
+    /// Requests a health check of a server.
     fn check_health(&mut self, server: Address);
+    /// Marks this round's messages with a number for proxies to acknowledge; with `everyone`, proxies without
+    /// other orders get a message too.
     fn mark(&mut self, number: u64, everyone: bool);
+    /// Subscribes to the list.
     fn follow_list(&mut self);
+    /// Reads the whole list once.
     fn fetch_list(&mut self);
+    /// Starts a timer that is due `after` seconds.
     fn set_timer(&mut self, after: f64, number: u64);
+    /// Writes a line to the log.
     fn log(&mut self, text: &str);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decisions remember of servers, proxies and tables. Nothing here decides anything.
+//! State of servers, proxies and tables that the decisions keep between rounds. This module decides nothing.
 
 use crate::round::{Acknowledgement, Address, Entry, ProxyQueries, Readiness, Tries};
 use crate::sums::DecayingSum;
@@ -7,24 +7,24 @@
 #[derive(Clone, Debug)]
 pub struct Server {
     pub zone: usize,
-    /// The groups it is dealt to.
+    /// The groups it belongs to.
     pub groups: Vec<usize>,
     pub readiness: Readiness,
-    /// Since when it is gone, where it is.
+    /// When it was found to be gone, if it is.
     pub gone_at: Option<f64>,
     pub weight: f64,
-    /// The largest weight it was listed with; some lists lower the weight of what is busy.
+    /// The largest weight it was listed with, as some lists lower the weight of busy servers.
     pub size: f64,
-    /// Clock time of its last start; 0 means long ago.
+    /// Time of its last start, on the clock of `Round::now`; 0 means long ago.
     pub started: f64,
     pub trust: f64,
-    /// Queries have spoken against it since its start.
-    pub judged: bool,
+    /// Whether the results of its queries have lowered its trust since its start.
+    pub lost_trust: bool,
     pub tries: DecayingSum,
     pub failed: DecayingSum,
     pub answers: DecayingSum,
-    /// Seconds that its answers took together.
-    pub time: DecayingSum,
+    /// Sum of its answers' times, s.
+    pub total_time: DecayingSum,
     pub answered_at: f64,
 }
 
@@ -40,23 +40,23 @@
             size: weight,
             started: entry.started,
             trust,
-            judged: false,
+            lost_trust: false,
             tries: DecayingSum::new(span),
             failed: DecayingSum::new(span),
             answers: DecayingSum::new(span),
-            time: DecayingSum::new(span),
+            total_time: DecayingSum::new(span),
             answered_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Counts what proxies met at it.
-    pub fn count(&mut self, tries: &Tries, now: f64) {
+    /// Adds the tries that proxies made at it.
+    pub fn record_tries(&mut self, tries: &Tries, now: f64) {
         let answers = (tries.tries - tries.failed).max(0.0);
         self.tries.add(now, tries.tries);
         self.failed.add(now, tries.failed);
         if answers > 0.0 && tries.time > 0.0 {
             self.answers.add(now, answers);
-            self.time.add(now, tries.time * answers);
+            self.total_time.add(now, tries.time * answers);
             self.answered_at = now;
         }
     }
@@ -65,21 +65,21 @@
         self.readiness == Readiness::Ready
     }
 
-    /// How far it is into its warming, from 0 to 1.
-    pub fn warmed(&self, now: f64, warm_within: f64) -> f64 {
+    /// Progress of warming, from 0 to 1.
+    pub fn warm_progress(&self, now: f64, warm_within: f64) -> f64 {
         if self.started <= 0.0 || now - self.started >= warm_within {
             return 1.0;
         }
         (now - self.started).max(0.0) / warm_within
     }
 
-    /// Mean time of its answers, with `prior` counted as that of `weight` more.
+    /// Mean time of its answers, with a prior of `weight` answers that took `prior` each.
     pub fn mean_time(&self, now: f64, prior: f64, weight: f64) -> f64 {
-        (self.time.read(now) + prior * weight) / (self.answers.read(now) + weight)
+        (self.total_time.read(now) + prior * weight) / (self.answers.read(now) + weight)
     }
 
-    /// Share of tries that failed, with `weight` more that did not.
-    pub fn part_failed(&self, now: f64, weight: f64) -> f64 {
+    /// Share of tries that failed, with a prior of `weight` successful ones.
+    pub fn failure_share(&self, now: f64, weight: f64) -> f64 {
         self.failed.read(now) / (self.tries.read(now) + weight)
     }
 }
@@ -87,36 +87,36 @@
 #[derive(Clone, Debug)]
 pub struct Proxy {
     pub zone: usize,
-    /// The group it is dealt to; none yet where there is no such group.
+    /// The group it belongs to; `usize::MAX`, or any other number without a group, if none yet.
     pub group: usize,
     pub joined: bool,
     pub bound: bool,
-    /// Queries a second it usually gets.
+    /// Queries a second that it usually receives.
     pub rate: f64,
-    /// Queries that came, by class.
-    pub came: Vec<DecayingSum>,
-    pub since: Option<f64>,
-    /// When messages were written to it.
-    pub sent: VecDeque<f64>,
+    /// Queries received, by class.
+    pub received: Vec<DecayingSum>,
+    pub measured_since: Option<f64>,
+    /// When messages were written to it within the window of the message cap.
+    pub sent_at: VecDeque<f64>,
 }
 
 impl Proxy {
-    /// Counts queries that came to it, to fade over `span`.
-    pub fn count(&mut self, queries: &ProxyQueries, classes: usize, span: f64, now: f64) {
-        self.came.resize(classes, DecayingSum::new(span));
-        self.since.get_or_insert(now - queries.span);
-        if let Some(came) = self.came.get_mut(usize::from(queries.class)) {
-            came.add(now, queries.received);
+    /// Adds queries that it received, in sums that decay over `span`.
+    pub fn record_queries(&mut self, queries: &ProxyQueries, classes: usize, span: f64, now: f64) {
+        self.received.resize(classes, DecayingSum::new(span));
+        self.measured_since.get_or_insert(now - queries.span);
+        if let Some(sum) = self.received.get_mut(usize::from(queries.class)) {
+            sum.add(now, queries.received);
         }
     }
 
-    pub fn note_sent(&mut self, now: f64, window: f64) {
-        self.sent.retain(|at| now - at < window);
-        self.sent.push_back(now);
+    pub fn record_sent(&mut self, now: f64, window: f64) {
+        self.sent_at.retain(|at| now - at < window);
+        self.sent_at.push_back(now);
     }
 
     pub fn sent_since(&self, at: f64) -> usize {
-        self.sent.iter().rev().take_while(|sent| **sent > at).count()
+        self.sent_at.iter().rev().take_while(|sent| **sent > at).count()
     }
 }
 
@@ -128,129 +128,130 @@
             joined: false,
             bound: false,
             rate: 0.0,
-            came: Vec::new(),
-            since: None,
-            sent: VecDeque::new(),
+            received: Vec::new(),
+            measured_since: None,
+            sent_at: VecDeque::new(),
         }
     }
 }
 
-/// What the proxies that use a table have been sent last.
+/// What the proxies that use a table were sent last.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    pub lines: BTreeMap<Address, f64>,
-    /// By class; none where nothing was ordered, and everything is let in.
+    pub weights: BTreeMap<Address, f64>,
+    /// By class; `None` where no level was sent, so that everything is admitted.
     pub levels: Vec<Option<Level>>,
 }
 
-/// What a table should be.
+/// The target state of a table.
 #[derive(Clone, Debug)]
-pub struct WantedTable {
-    /// By server; they need not add up to 1.
+pub struct TargetTable {
+    /// By server; the sum may differ from 1.
     pub weights: BTreeMap<Address, f64>,
-    /// Part of the table's requests that may be let in on them.
-    pub placed: f64,
+    /// Share of the table's queries that these weights may carry.
+    pub admissible: f64,
 }
 
-/// What is ordered of a class.
+/// Admission level and retry mode of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Level {
-    /// Part of its requests that is let in, or requests a second of each proxy.
+    /// Share of its queries that is admitted, or queries a second at each proxy.
     pub admitted: f64,
-    /// The wire's retry mode.
+    /// Retry mode as on the wire.
     pub retry: u8,
 }
 
 impl Level {
-    /// Whether less is let in than before. A retry that is taken back is no fall: put before weights, it keeps those
-    /// that lead away from a trouble waiting.
-    pub fn falls_from(self, before: Level) -> bool {
+    /// Whether it admits less than `before`. Withdrawing a retry doesn't count: sent ahead of weights, it
+    /// would delay those that lead away from a failing server.
+    pub fn is_lower_than(self, before: Level) -> bool {
         self.admitted < before.admitted
     }
 }
 
-/// What the limits of cold servers go by at one moment.
+/// Inputs of the limits of cold servers at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdBudget {
-    /// Requests a second that a unit of size carries.
-    pub carried_by_size: f64,
-    /// Size of most servers.
+    /// Queries a second that a unit of size carries.
+    pub capacity_per_size: f64,
+    /// Median size of a server.
     pub usual_size: f64,
 }
 
-/// All that should change in a table.
+/// All pending changes of a table.
 #[derive(Clone, Debug)]
 pub struct TableChanges {
-    /// The place of the table.
-    pub place: usize,
-    /// Some of it can't wait for a cycle.
-    pub must: bool,
-    /// Requests a second that go elsewhere by it.
+    /// The index of the table.
+    pub table: usize,
+    /// Whether a change can't wait for the next cycle.
+    pub urgent: bool,
+    /// Queries a second that the changes move to other servers.
     pub moved: f64,
     pub changes: Vec<Change>,
 }
 
-/// A line of a table that should say something else.
+/// A pending change of a table's weight for a server.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub server: Address,
     pub weight: f64,
-    pub moved: f64,
-    /// It can't wait for a cycle.
-    pub must: bool,
+    pub difference: f64,
+    /// Whether it can't wait for the next cycle.
+    pub urgent: bool,
 }
 
-/// The admission limit, and what it goes by.
+/// The admission limit and the measurements it is based on.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Part of all queries that is let in.
+    /// Share of all queries that is admitted.
     pub admitted: f64,
-    /// That part, as it was while what is measured now was let in.
-    pub held: f64,
-    /// Queries a second that are let in.
+    /// The admitted share that applied when the present measurements were taken.
+    pub lagged_admitted: f64,
+    /// Queries a second that are admitted.
     pub limit: f64,
-    /// The usual server's time and failures, over the due time.
+    /// Response time of the median server, failures included, over the due time.
     pub pressure: f64,
-    /// Answers a second that a unit of weight has been seen to give, at most.
+    /// The most answers a second that a unit of warm size has been seen to give.
     pub observed_capacity: f64,
-    /// Size of all ready servers, where most of them were listed.
-    pub most_listed: f64,
-    /// Tries a second that came to an end.
-    pub met: f64,
-    /// Queries a second that the joined proxies usually bring, and when that last grew at once.
-    pub usual: f64,
-    pub grown_at: Option<f64>,
+    /// The largest total size of ready servers seen so far.
+    pub max_listed_size: f64,
+    /// Tries a second that ended in an answer or a failure.
+    pub completed_tries: f64,
+    /// Queries a second that the joined proxies usually bring, and when it last jumped.
+    pub usual_rate: f64,
+    pub usual_grew_at: Option<f64>,
 }
 
 impl Default for Admission {
     fn default() -> Self {
         Admission {
             admitted: 1.0,
-            held: 1.0,
+            lagged_admitted: 1.0,
             limit: f64::INFINITY,
             pressure: 0.0,
             observed_capacity: 0.0,
-            most_listed: 0.0,
-            met: 0.0,
-            usual: 0.0,
-            grown_at: None,
+            max_listed_size: 0.0,
+            completed_tries: 0.0,
+            usual_rate: 0.0,
+            usual_grew_at: None,
         }
     }
 }
 
-/// When what happened last, or is to happen next.
+/// Times of the last and the next events.
 #[derive(Clone, Debug, Default)]
 pub struct Times {
-    pub asked_at: Option<f64>,
-    pub ask_at: f64,
-    pub first_heard: Option<f64>,
-    pub heard_at: Option<f64>,
+    pub requested_at: Option<f64>,
+    pub request_at: f64,
+    pub first_report_at: Option<f64>,
+    pub last_report_at: Option<f64>,
     pub last_cycle: f64,
     pub next_cycle: f64,
-    pub next_beat: f64,
+    pub next_recheck: f64,
 }
 
-/// The orders of one round: the number they were marked with, and what may still wait of them.
+/// The messages of one round: the number they are marked with, and how many lines and messages may still
+/// wait.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mark {
     number: u16,
@@ -258,66 +259,72 @@
     messages: f64,
 }
 
-/// The book of a channel: what may wait in it as far as acknowledgements tell, and what was written lately.
+/// Accounting of a channel: the lines that may still wait in it according to acknowledgements, and the recent
+/// ordinary lines.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     marks: VecDeque<Mark>,
-    /// What this round has written.
-    fresh: Mark,
-    /// Lines of ordinary orders, less what a steady pace has taken off since.
-    pub spent: f64,
-    settled_at: f64,
-    acknowledged_at: f64,
+    /// The messages of the present round.
+    current: Mark,
+    /// Level of a leaky bucket that limits the long-term rate of ordinary lines.
+    pub ordinary_lines: f64,
+    last_settled_at: f64,
+    last_acknowledged_at: f64,
 }
 
 impl Queue {
+    /// Accounts for `messages` messages of `lines` lines each.
     pub fn write(&mut self, lines: f64, messages: usize) {
-        self.fresh.lines += lines * messages as f64;
-        self.fresh.messages += messages as f64;
+        self.current.lines += lines * messages as f64;
+        self.current.messages += messages as f64;
     }
 
-    /// Charges lines to the pace that ordinary orders keep to.
+    /// Adds lines to the bucket that limits ordinary orders.
     ///
-    /// What can't wait is not charged: the tables of a fleet that joins at once would take the whole of that pace
-    /// for many seconds, and shut out every weight and level while the channel is empty.
-    pub fn spend(&mut self, lines: f64) {
-        self.spent += lines;
+    /// Urgent lines are not added: the tables of a fleet that joins at once would use up the ordinary rate
+    /// for many seconds and hold back every weight and level while the channel is empty.
+    pub fn charge_ordinary(&mut self, lines: f64) {
+        self.ordinary_lines += lines;
     }
 
     /// The number to mark this round's messages with, if there are any.
     pub fn mark(&mut self, now: f64) -> Option<u64> {
-        if self.fresh.messages == 0.0 {
+        if self.current.messages == 0.0 {
             return None;
         }
         if self.marks.is_empty() {
-            self.acknowledged_at = now;
+            self.last_acknowledged_at = now;
         }
-        self.marks.push_back(self.fresh);
-        self.fresh = Mark { number: self.fresh.number.wrapping_add(1), ..Mark::default() };
+        self.marks.push_back(self.current);
+        self.current = Mark { number: self.current.number.wrapping_add(1), ..Mark::default() };
         self.marks.back().map(|mark| u64::from(mark.number))
     }
 
-    /// Messages leave in order: an acknowledgement shows that its message has left, and all of earlier
-    /// rounds. Without any for `patience` seconds, those that should send them are gone.
-    pub fn settle(&mut self, acknowledgements: &[Acknowledgement], now: f64, patience: f64, pace: f64) {
+    /// Applies acknowledgements and drains the bucket of ordinary lines at `rate` lines a second.
+    ///
+    /// Messages leave in order: an acknowledgement shows that its message and all of earlier rounds have
+    /// left. Without any for `timeout` seconds, the proxies that should acknowledge are gone.
+    pub fn acknowledge(&mut self, acknowledgements: &[Acknowledgement], now: f64, timeout: f64, rate: f64) {
         for acknowledgement in acknowledgements {
-            self.acknowledged_at = now;
-            if let Some(place) = self.marks.iter().position(|m| u64::from(m.number) == acknowledgement.number)
+            self.last_acknowledged_at = now;
+            if let Some(position) =
+                self.marks.iter().position(|m| u64::from(m.number) == acknowledgement.number)
             {
-                self.marks.drain(..place);
+                self.marks.drain(..position);
                 let mark = &mut self.marks[0];
                 mark.lines *= 1.0 - 1.0 / mark.messages.max(1.0);
                 mark.messages -= 1.0;
             }
         }
-        if now - self.acknowledged_at > patience {
+        if now - self.last_acknowledged_at > timeout {
             self.marks.clear();
         }
-        self.spent = (self.spent - (now - self.settled_at) * pace).max(0.0);
-        self.settled_at = now;
+        self.ordinary_lines = (self.ordinary_lines - (now - self.last_settled_at) * rate).max(0.0);
+        self.last_settled_at = now;
     }
 
-    pub fn waiting(&self) -> f64 {
-        self.fresh.lines + self.marks.iter().map(|mark| mark.lines).sum::<f64>()
+    /// Lines that may still wait in the channel.
+    pub fn waiting_lines(&self) -> f64 {
+        self.current.lines + self.marks.iter().map(|mark| mark.lines).sum::<f64>()
     }
 }
--- a/src/sums.rs
+++ b/src/sums.rs
@@ -1,4 +1,4 @@
-//! Sums that fade with time; brought up to date when they are read or added to.
+//! Exponentially decaying sums, brought up to date when they are read or added to, and medians.
 
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSum {
@@ -8,7 +8,7 @@
 }
 
 impl DecayingSum {
-    /// What is added fades by a factor of e each `span` seconds.
+    /// A sum that decays by a factor of e every `span` seconds.
     pub fn new(span: f64) -> Self {
         DecayingSum { span, sum: 0.0, at: 0.0 }
     }
@@ -26,32 +26,34 @@
     }
 }
 
-/// The seconds that such a sum stands for, right after one of the amounts that have come each
-/// `period` for `age` seconds: sum over seconds is the rate.
+/// The length of time that a decaying sum covers, right after the last of the amounts that were added every
+/// `period` for `age` seconds. The sum divided by it is the rate.
 pub fn effective_span(span: f64, period: f64, age: f64) -> f64 {
-    let faded = |time: f64| 1.0 - (-time / span).exp();
+    let decayed = |time: f64| 1.0 - (-time / span).exp();
     let period = period.max(1e-3);
-    period * faded(age.max(period)) / faded(period)
+    period * decayed(age.max(period)) / decayed(period)
 }
 
+/// The median; of an even number of values, the upper of the middle two.
 pub fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
 }
 
-/// The value of which half of all weight lies no higher: pairs of value and weight.
+/// The smallest value at which the values up to it have half of the total weight, from pairs of value and
+/// weight.
 pub fn weighted_median(mut values: Vec<(f64, f64)>) -> Option<f64> {
     values.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut left = values.iter().map(|(_, weight)| weight).sum::<f64>() / 2.0;
+    let mut remaining = values.iter().map(|(_, weight)| weight).sum::<f64>() / 2.0;
     let found = values.iter().find(|(_, weight)| {
-        left -= weight;
-        left <= 0.0
+        remaining -= weight;
+        remaining <= 0.0
     });
     found.map(|(value, _)| *value)
 }
 
-/// The place of the least; `rng` decides between equals.
+/// The index of the smallest value. Ties are broken by `rng`.
 pub fn argmin(values: &[f64], mut rng: impl FnMut() -> f64) -> usize {
-    let places = values.iter().enumerate().map(|(place, value)| (*value, rng(), place));
-    places.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))).map_or(0, |found| found.2)
+    let keyed = values.iter().enumerate().map(|(index, value)| (*value, rng(), index));
+    keyed.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))).map_or(0, |found| found.2)
 }
