--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Seeded settings of any customer, within what the operators' pages allow: each starts, and the rules hold
-//! under it.
+//! Random settings from a fixed seed, within the limits of the operators' pages: the pilot starts with each
+//! and keeps the rules.
 
 mod support;
 
@@ -10,84 +10,85 @@
 use std::collections::{BTreeMap, BTreeSet};
 use support::*;
 
-/// A customer's settings, and what happens on a day: the first number of a step says what, the second to
-/// whom.
+/// Settings and the events of a run. The first number of a step selects the event, the second the server or
+/// proxy.
 #[derive(Clone, Debug)]
-struct Day {
+struct Case {
     settings: Value,
     steps: Vec<(u8, u16)>,
 }
 
-fn within(g: &mut Gen, least: u32, most: u32) -> f64 {
-    f64::from(least + u32::arbitrary(g) % (most - least + 1))
+fn whole_number(g: &mut Gen, min: u32, max: u32) -> f64 {
+    f64::from(min + u32::arbitrary(g) % (max - min + 1))
 }
 
-fn one_of<T: Copy>(g: &mut Gen, all: &[T]) -> T {
+fn choose<T: Copy>(g: &mut Gen, all: &[T]) -> T {
     *g.choose(all).expect("there are some")
 }
 
-impl Arbitrary for Day {
+impl Arbitrary for Case {
     fn arbitrary(g: &mut Gen) -> Self {
-        let lanes: Vec<Value> = (0..within(g, 1, 16) as usize)
+        let lanes: Vec<Value> = (0..whole_number(g, 1, 16) as usize)
             .map(|n| {
-                json!({"name": format!("class {n} of {}", u8::arbitrary(g)), "slo-ms": within(g, 100, 4000),
-                       "deadline-ms": within(g, 4000, 9000), "worth": within(g, 0, 60) / 4.0,
-                       "effect": one_of(g, &["pure", "token", "side_effect"]), "not known": null})
+                json!({"name": format!("class {n} of {}", u8::arbitrary(g)), "slo-ms": whole_number(g, 100, 4000),
+                       "deadline-ms": whole_number(g, 4000, 9000), "worth": whole_number(g, 0, 60) / 4.0,
+                       "effect": choose(g, &["pure", "token", "side_effect"]), "not known": null})
             })
             .collect();
-        let zones: Vec<String> = (0..within(g, 1, 5) as usize).map(|n| format!("Zone-{n} {{\"")).collect();
+        let zones: Vec<String> =
+            (0..whole_number(g, 1, 5) as usize).map(|n| format!("Zone-{n} {{\"")).collect();
         let settings = json!({
             "family": "control", "of later days": [{"key": 1}],
             "family-info": {
-                "egress-per-s": within(g, 1100, 9500), "head": within(g, 0, 6), "partitions-n": 0,
-                "level-kind": one_of(g, &["share", "rate", "off"]), "data-plane-size": PROXIES,
-                "choice": one_of(g, &["weighted", "round", "two"]), "period-ms": within(g, 250, 2000),
-                "queue-cap": within(g, 2000, 9000), "reloads-max": one_of(g, &[0, 12, 14, 20]),
-                "transit-max-ms": within(g, 200, 900), "update-window-ms": 10000.0,
-                "write-life-ms": within(g, 0, 9000), "by-zone": bool::arbitrary(g)
+                "egress-per-s": whole_number(g, 1100, 9500), "head": whole_number(g, 0, 6), "partitions-n": 0,
+                "level-kind": choose(g, &["share", "rate", "off"]), "data-plane-size": PROXIES,
+                "choice": choose(g, &["weighted", "round", "two"]), "period-ms": whole_number(g, 250, 2000),
+                "queue-cap": whole_number(g, 2000, 9000), "reloads-max": choose(g, &[0, 12, 14, 20]),
+                "transit-max-ms": whole_number(g, 200, 900), "update-window-ms": 10000.0,
+                "write-life-ms": whole_number(g, 0, 9000), "by-zone": bool::arbitrary(g)
             },
             "lanes": lanes, "zones": zones,
-            "limits": {"probes": bool::arbitrary(g), "connect-timeout-ms": within(g, 100, 900)},
-            "registry-mode": one_of(g, &["pushed", "on_request"]), "siblings": within(g, 1, 5),
-            "tick-ms": within(g, 1, 20),
-            "rules": {"ask-within-ms": within(g, 2000, 20000), "fall-multiple": within(g, 8, 20) / 4.0,
-                "start-capacity": within(g, 15, 50) / 100.0, "warm-within-ms": within(g, 4000, 20000),
+            "limits": {"probes": bool::arbitrary(g), "connect-timeout-ms": whole_number(g, 100, 900)},
+            "registry-mode": choose(g, &["pushed", "on_request"]), "siblings": whole_number(g, 1, 5),
+            "tick-ms": whole_number(g, 1, 20),
+            "rules": {"ask-within-ms": whole_number(g, 2000, 20000), "fall-multiple": whole_number(g, 8, 20) / 4.0,
+                "start-capacity": whole_number(g, 15, 50) / 100.0, "warm-within-ms": whole_number(g, 4000, 20000),
                 "only-draining-binds": bool::arbitrary(g)}
         });
-        Day { settings, steps: Vec::arbitrary(g) }
+        Case { settings, steps: Vec::arbitrary(g) }
     }
 }
 
 const SERVERS: u16 = 10;
 const PROXIES: u16 = 8;
 
-fn starts_and_keeps_the_rules(day: Day) -> bool {
-    let node = Node::root(&day.settings);
+fn case_starts_and_keeps_the_rules(case: Case) -> bool {
+    let node = Node::root(&case.settings);
     let names = names(&node).expect("names");
     let Start { site, classes, channel, rules } = start(&node).expect("settings that start");
     assert_eq!((names.zones.len(), names.classes.len()), (site.zones, classes.len()));
-    let (zones, warm_within, most) = (site.zones as u16, rules.warm_within, channel.max_messages);
-    let (cap, binds) = (channel.max_waiting_lines, !rules.gone_does_not_bind);
-    let rates = site.level_kind == LevelKind::Rate;
+    let (zones, warm_within, max_messages) = (site.zones as u16, rules.warm_within, channel.max_messages);
+    let (max_waiting, gone_binds) = (channel.max_waiting_lines, !rules.gone_does_not_bind);
+    let levels_are_rates = site.level_kind == LevelKind::Rate;
     let count = classes.len() as u8;
-    let mut play = Play::of(site, classes, rules, channel);
-    play.book.rates = rates;
+    let mut harness = Harness::with_classes(site, classes, rules, channel);
+    harness.state.levels_are_rates = levels_are_rates;
     let mut now = 1000.0;
     let mut servers: BTreeMap<u16, (Readiness, f64, f64)> =
         (0..SERVERS).map(|n| (n, (Readiness::Ready, 0.0, now))).collect();
     let mut joined: BTreeMap<u16, f64> = (0..PROXIES).map(|proxy| (proxy, now)).collect();
     let streams = joined.keys().map(|proxy| join(*proxy, proxy % zones)).collect();
-    play.round(&open(now, ready(SERVERS, zones), streams));
-    for (what, n) in day.steps {
-        let mut round = at(now);
-        match what % 8 {
+    harness.round(&initial_round(now, ready_servers(SERVERS, zones), streams));
+    for (event, n) in case.steps {
+        let mut round = round_at(now);
+        match event % 8 {
             kind @ 0..=2 => {
                 let readiness = [Readiness::Gone, Readiness::Draining, Readiness::Ready][usize::from(kind)];
-                let (held, started, _) = servers[&(n % SERVERS)];
-                let back = held != Readiness::Ready && readiness == Readiness::Ready;
+                let (old, started, _) = servers[&(n % SERVERS)];
+                let back = old != Readiness::Ready && readiness == Readiness::Ready;
                 let started = if back { now - 0.5 } else { started };
                 servers.insert(n % SERVERS, (readiness, started, now));
-                round = change(now, vec![entry(n % SERVERS, n % SERVERS % zones, readiness, started)]);
+                round = list_change(now, vec![entry(n % SERVERS, n % SERVERS % zones, readiness, started)]);
             }
             3 => {
                 let proxy = n % PROXIES;
@@ -108,46 +109,47 @@
                 }
             }
         }
-        play.round(&round);
+        harness.round(&round);
         for _ in 0..4 {
             now += 0.4;
-            play.round(&at(now));
+            harness.round(&round_at(now));
         }
-        let book = &play.book;
+        let state = &harness.state;
         let warm = |s: &(Readiness, f64, f64)| s.0 == Readiness::Ready && now - s.1 >= warm_within;
         if servers.values().any(warm) {
             for proxy in joined.keys() {
-                let table = book.bound.get(proxy).map(|table| book.table(*table)).unwrap_or_default();
+                let table = state.bound.get(proxy).map(|table| state.table(*table)).unwrap_or_default();
                 assert!(!table.is_empty(), "proxy {proxy} has no line");
             }
         }
         let used: BTreeSet<Address> =
-            book.bound.values().flat_map(|table| book.table(*table).into_keys()).collect();
+            state.bound.values().flat_map(|table| state.table(*table).into_keys()).collect();
         for (n, (readiness, ..)) in &servers {
-            let left = *readiness == Readiness::Draining || *readiness == Readiness::Gone && binds;
-            assert!(!(left && used.contains(&address(*n))), "server {n} left and is still listed");
+            let unavailable =
+                *readiness == Readiness::Draining || *readiness == Readiness::Gone && gone_binds;
+            assert!(!(unavailable && used.contains(&address(*n))), "server {n} left and is still listed");
         }
-        assert!(book.levels.values().all(|(_, mode)| *mode < 2), "an effect could repeat");
-        assert!(book.waiting <= cap, "{} lines wait", book.waiting);
-        for times in book.messages.values().filter(|_| most > 0) {
+        assert!(state.levels.values().all(|(_, mode)| *mode < 2), "a retry could repeat an effect");
+        assert!(state.waiting <= max_waiting, "{} lines wait", state.waiting);
+        for times in state.messages.values().filter(|_| max_messages > 0) {
             let recent = times.iter().filter(|at| now - **at < 10.0).count();
-            assert!(recent <= most, "{recent} messages to one proxy");
+            assert!(recent <= max_messages, "{recent} messages to one proxy");
         }
     }
     true
 }
 
 #[test]
-fn any_customer_s_settings_start_and_keep_the_rules() {
+fn any_valid_settings_start_and_keep_the_rules() {
     let mut runs = QuickCheck::new().tests(300).rng(Gen::from_size_and_seed(60, 24));
-    runs.quickcheck(starts_and_keeps_the_rules as fn(Day) -> bool);
+    runs.quickcheck(case_starts_and_keeps_the_rules as fn(Case) -> bool);
 }
 
-/// Each wrong figure is told with its field and value.
+/// Each error message names the field and its value.
 #[test]
-fn what_is_missing_odd_or_contradictory_starts_nothing() {
+fn invalid_settings_are_rejected() {
     let mut g = Gen::from_size_and_seed(10, 3);
-    let right = Day::arbitrary(&mut g).settings;
+    let valid = Case::arbitrary(&mut g).settings;
     let cases = [
         ("/family-info/head", json!("x"), "`family-info.head` is \"x\", not a number from 0"),
         ("/family-info/egress-per-s", json!(0), "`family-info.egress-per-s` is 0, not a number above 0"),
@@ -183,16 +185,17 @@
         ("/lanes/0", json!(3), "is missing in `lanes[0]`"),
         ("/family-info", json!([]), "is missing in `family-info`"),
     ];
-    for (place, value, wanted) in cases {
-        let mut wrong = right.clone();
-        *wrong.pointer_mut(place).expect(place) = value;
-        let node = Node::root(&wrong);
-        let said = names(&node).map(drop).and_then(|()| start(&node).map(drop)).expect_err(place).to_string();
-        assert!(said.contains(wanted), "said `{said}`, wanted `{wanted}`");
+    for (path, value, expected) in cases {
+        let mut invalid = valid.clone();
+        *invalid.pointer_mut(path).expect(path) = value;
+        let node = Node::root(&invalid);
+        let message =
+            names(&node).map(drop).and_then(|()| start(&node).map(drop)).expect_err(path).to_string();
+        assert!(message.contains(expected), "got `{message}`, expected `{expected}`");
     }
-    let mut capped = right;
-    capped["family-info"]["reloads-max"] = json!(12);
-    capped["family-info"]["update-window-ms"] = json!(0);
-    let said = start(&Node::root(&capped)).expect_err("no span").to_string();
-    assert!(said.contains("`family-info.update-window-ms` is 0, not a number above 0"), "{said}");
+    let mut without_window = valid;
+    without_window["family-info"]["reloads-max"] = json!(12);
+    without_window["family-info"]["update-window-ms"] = json!(0);
+    let message = start(&Node::root(&without_window)).expect_err("update window of 0").to_string();
+    assert!(message.contains("`family-info.update-window-ms` is 0, not a number above 0"), "{message}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A deployment to test against and a writer that keeps what proxies would hold.
+//! Test deployment, and a writer that keeps the state that proxies would hold.
 
-// Each test file uses a part of it.
+// No test file uses all of it.
 #![allow(dead_code)]
 
 use oatlever::balance::Balancer;
@@ -61,46 +61,46 @@
     }
 }
 
-/// A balancer, its channel, and the book of what it orders.
-pub struct Play {
+/// A balancer, its channel, and the state that its orders produce at the proxies.
+pub struct Harness {
     balancer: Balancer,
-    /// As it is, which may not be as stated.
+    /// The real channel, which may be worse than the stated one.
     pub channel: Channel,
-    pub book: Book,
+    pub state: ProxyState,
 }
 
-impl Play {
+impl Harness {
     pub fn new(site: Site, rules: Rules, channel: Channel) -> Self {
-        Play::of(site, classes(), rules, channel)
+        Harness::with_classes(site, classes(), rules, channel)
     }
 
-    /// The same for any customer's settings.
-    pub fn of(site: Site, classes: Vec<QueryClass>, rules: Rules, channel: Channel) -> Self {
+    /// A harness with classes other than the default ones.
+    pub fn with_classes(site: Site, classes: Vec<QueryClass>, rules: Rules, channel: Channel) -> Self {
         let balancer = Balancer::new(site, classes, channel.clone(), rules, 7);
-        Play { balancer, channel, book: Book::default() }
+        Harness { balancer, channel, state: ProxyState::default() }
     }
 
     pub fn round(&mut self, round: &Round) {
-        self.book.play(&mut self.balancer, round, &self.channel);
+        self.state.run_round(&mut self.balancer, round, &self.channel);
     }
 }
 
-pub fn at(now: f64) -> Round {
+pub fn round_at(now: f64) -> Round {
     Round { now, ..Round::default() }
 }
 
-/// So many ready servers, dealt to so many zones.
-pub fn ready(servers: u16, zones: u16) -> Vec<Entry> {
+/// Ready servers with numbers from 0, distributed evenly over the zones.
+pub fn ready_servers(servers: u16, zones: u16) -> Vec<Entry> {
     (0..servers).map(|n| entry(n, n % zones, Readiness::Ready, 0.0)).collect()
 }
 
-/// The first round: the whole list, and the proxies that join.
-pub fn open(now: f64, entries: Vec<Entry>, streams: Vec<Stream>) -> Round {
-    Round { lists: vec![list(ListKind::Full, entries)], streams, ..at(now) }
+/// The first round: the whole list and the proxies that join.
+pub fn initial_round(now: f64, entries: Vec<Entry>, streams: Vec<Stream>) -> Round {
+    Round { lists: vec![list(ListKind::Full, entries)], streams, ..round_at(now) }
 }
 
-pub fn change(now: f64, entries: Vec<Entry>) -> Round {
-    Round { lists: vec![list(ListKind::Changes, entries)], ..at(now) }
+pub fn list_change(now: f64, entries: Vec<Entry>) -> Round {
+    Round { lists: vec![list(ListKind::Changes, entries)], ..round_at(now) }
 }
 
 pub fn join(proxy: u16, zone: u16) -> Stream {
@@ -111,34 +111,34 @@
     Tries { server: address(n), zone, tries, failed, time, span: 1.0 }
 }
 
-/// What the proxies hold, and what the orders of each round cost.
+/// The state that proxies hold, and the channel usage of the orders.
 #[derive(Default)]
-pub struct Book {
+pub struct ProxyState {
     pub tables: BTreeMap<u16, BTreeMap<Address, f64>>,
     pub levels: BTreeMap<(u16, u16), (f64, u8)>,
     pub bound: BTreeMap<u16, u16>,
     pub messages: BTreeMap<u16, Vec<f64>>,
-    /// What waits in the channel, message by message: the proxy, the lines left, the mark.
+    /// Messages waiting in the channel: proxy, remaining lines, mark.
     pub queue: VecDeque<(u16, f64, Option<u64>)>,
     pub waiting: f64,
-    pub marked: Option<u64>,
-    pub asked: usize,
-    pub checked: Vec<Address>,
-    /// Levels are queries a second, not parts.
-    pub rates: bool,
+    pub mark: Option<u64>,
+    pub list_requests: usize,
+    pub requested_checks: Vec<Address>,
+    /// Whether levels are queries a second instead of shares.
+    pub levels_are_rates: bool,
     pub now: f64,
     pub lines: BTreeMap<u16, f64>,
 }
 
-impl Book {
-    /// A server's part of all queries, where each proxy gets as many.
-    pub fn part_of_all(&self, n: u16) -> f64 {
-        let parts = self.bound.values().map(|table| self.part(*table, n));
-        parts.filter(|part| part.is_finite()).sum::<f64>() / self.bound.len().max(1) as f64
+impl ProxyState {
+    /// A server's share of all queries where every proxy receives the same number.
+    pub fn share_of_all(&self, n: u16) -> f64 {
+        let shares = self.bound.values().map(|table| self.share(*table, n));
+        shares.filter(|share| share.is_finite()).sum::<f64>() / self.bound.len().max(1) as f64
     }
 
-    /// Plays a round and accounts its orders.
-    pub fn play(&mut self, balancer: &mut Balancer, round: &Round, channel: &Channel) {
+    /// Delivers what the channel sent since the last round, runs a round and accounts for its orders.
+    pub fn run_round(&mut self, balancer: &mut Balancer, round: &Round, channel: &Channel) {
         let mut sent = (round.now - self.now) * channel.lines_per_second;
         self.now = round.now;
         let mut round = round.clone();
@@ -158,11 +158,11 @@
                 self.messages.remove(&stream.proxy);
             }
         }
-        self.marked = None;
+        self.mark = None;
         balancer.round(&round, self);
         for (proxy, lines) in std::mem::take(&mut self.lines) {
-            let mark = f64::from(u8::from(self.marked.is_some()));
-            self.queue.push_back((proxy, lines + channel.header_lines + mark, self.marked));
+            let mark = f64::from(u8::from(self.mark.is_some()));
+            self.queue.push_back((proxy, lines + channel.header_lines + mark, self.mark));
             self.messages.entry(proxy).or_default().push(round.now);
         }
         self.waiting = self.queue.iter().map(|(_, lines, _)| lines).sum();
@@ -172,13 +172,13 @@
         self.tables.get(&table).cloned().unwrap_or_default()
     }
 
-    /// The part of a table that goes to a server.
-    pub fn part(&self, table: u16, n: u16) -> f64 {
+    /// The share of a table's queries that goes to a server.
+    pub fn share(&self, table: u16, n: u16) -> f64 {
         let lines = self.table(table);
         lines.get(&address(n)).copied().unwrap_or(0.0) / lines.values().sum::<f64>()
     }
 
-    fn charge(&mut self, table: u16) {
+    fn count_line(&mut self, table: u16) {
         let users: BTreeSet<u16> = self.bound.iter().filter(|(_, t)| **t == table).map(|(p, _)| *p).collect();
         for proxy in users {
             *self.lines.entry(proxy).or_default() += 1.0;
@@ -186,10 +186,10 @@
     }
 }
 
-impl Writer for Book {
+impl Writer for ProxyState {
     fn set_weight(&mut self, table: u16, server: Address, weight: f64) {
         assert!(weight.is_finite() && weight >= 0.0, "weight {weight}");
-        self.charge(table);
+        self.count_line(table);
         let lines = self.tables.entry(table).or_default();
         if weight > 0.0 {
             lines.insert(server, weight);
@@ -198,7 +198,7 @@
         }
     }
     fn clear_table(&mut self, table: u16) {
-        self.charge(table);
+        self.count_line(table);
         self.tables.remove(&table);
     }
     fn bind(&mut self, proxy: u16, table: u16) {
@@ -208,19 +208,19 @@
     }
     fn withdraw(&mut self, _: Address, _: bool) {}
     fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
-        assert!(level >= 0.0 && (self.rates || level <= 1.0), "level {level}");
-        self.charge(table);
+        assert!(level >= 0.0 && (self.levels_are_rates || level <= 1.0), "level {level}");
+        self.count_line(table);
         self.levels.insert((table, classes), (level, tries));
     }
     fn check_health(&mut self, server: Address) {
-        self.checked.push(server);
+        self.requested_checks.push(server);
     }
     fn mark(&mut self, number: u64, _: bool) {
         assert!(number < 65536);
-        self.marked = Some(number);
+        self.mark = Some(number);
     }
     fn follow_list(&mut self) {
-        self.asked += 1;
+        self.list_requests += 1;
     }
     fn fetch_list(&mut self) {}
     fn set_timer(&mut self, after: f64, _: u64) {
