--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -88,8 +88,8 @@
         tables.begin_round(0.0, 1, RoundInputs::default());
         for n in 0..servers {
             let server = Address { host: [10, 0, 0, n], port: 7000 + u16::from(n) };
-            tables.weigh(0, server, f64::from(n) + 1.0);
-            tables.weigh(1, Address { host: [10, 0, 1, n], ..server }, 1.0);
+            tables.set_weight(0, server, f64::from(n) + 1.0);
+            tables.set_weight(1, Address { host: [10, 0, 1, n], ..server }, 1.0);
         }
         tables.bind(0, 0);
         tables.bind(1, 1);
@@ -228,7 +228,7 @@
     let search = query("_search._tcp.shops.test", Rtype::SRV);
     assert_eq!(srv_records(&harness.query(&search, RELAY, Transport::Udp)).len(), 3);
     harness.backend.tables.begin_round(1.0, 2, RoundInputs::default());
-    harness.backend.tables.weigh(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
+    harness.backend.tables.set_weight(0, Address { host: [10, 0, 0, 1], port: 7001 }, 0.0);
     harness.backend.tables.end_round();
     let answer = harness.query(&search, RELAY, Transport::Udp);
     assert_eq!(srv_records(&answer).iter().map(|(_, port, _)| *port).collect::<Vec<_>>(), [7000, 7002]);
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -93,7 +93,7 @@
             proxies: start.site.proxies as usize,
         };
         Controller {
-            patience: patience(start.site.report_period, start.channel.longest_way),
+            patience: patience(start.site.report_period, start.channel.max_delivery_delay),
             publisher: Publisher::new(names.classes.clone()),
             balancer: Balancer::new(start.site, start.classes, start.channel, start.rules, seed),
             names,
@@ -288,7 +288,7 @@
         for (after, number) in actions.timers {
             self.timers.set(now + after, number);
         }
-        for note in actions.notes {
+        for note in actions.log_messages {
             tracing::info!(note);
         }
         // Taken when messages are written, as estimated demand decays between reports. With no proxy served there is
@@ -311,7 +311,7 @@
         let unresponsive = self.sessions.silent(now, self.patience);
         self.counts.silent += unresponsive.len() as u64;
         self.counts.longest_round = self.counts.longest_round.max(started.elapsed().as_secs_f64() * 1e3);
-        Effects { messages, checks, request_list: actions.follow || actions.fetch, unresponsive }
+        Effects { messages, checks, request_list: actions.follow_list || actions.fetch_list, unresponsive }
     }
 
     /// When [`Controller::step`] is next due without further input.
--- a/pilot/tests/program.rs
+++ b/pilot/tests/program.rs
@@ -375,11 +375,11 @@
     assert!(closed && started.elapsed() >= Duration::from_millis(900), "{:?}", started.elapsed());
 
     // A flood of random bytes and queries from one address; another address is answered meanwhile.
-    let mut random = oatlever::chance::Chance::new(9);
+    let mut random = oatlever::rng::Rng::new(9);
     let flood = UdpSocket::bind("127.0.0.7:0").unwrap();
     let packet = question();
     for n in 0..20_000 {
-        let noise: Vec<u8> = (0..n % 300).map(|_| (random.part() * 256.0) as u8).collect();
+        let noise: Vec<u8> = (0..n % 300).map(|_| (random.f64() * 256.0) as u8).collect();
         let bytes = if n % 2 == 0 { &noise } else { &packet };
         let _ = flood.send_to(bytes, pilot.dns);
         if n % 1000 == 0 {
--- a/tables/src/lib.rs
+++ b/tables/src/lib.rs
@@ -395,7 +395,7 @@
 }
 
 impl Writer for Tables {
-    fn weigh(&mut self, table: u16, server: Address, weight: f64) {
+    fn set_weight(&mut self, table: u16, server: Address, weight: f64) {
         self.pending.written_lines.insert(table);
         let lines = &mut self.table_mut(table).lines;
         if weight > 0.0 {
@@ -406,7 +406,7 @@
         self.add_cost(table);
     }
 
-    fn clear(&mut self, table: u16) {
+    fn clear_table(&mut self, table: u16) {
         self.pending.written_lines.insert(table);
         let state = self.table_mut(table);
         state.lines.clear();
@@ -439,7 +439,7 @@
         }
     }
 
-    fn admit(&mut self, table: u16, classes: u16, level: f64, retry_mode: u8) {
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, retry_mode: u8) {
         let classes = classes_in_mask(classes, self.classes);
         let last = self.tables.len().saturating_sub(1) as u16;
         for number in if table == ALL_TABLES { 0..=last } else { table..=table } {
@@ -472,7 +472,7 @@
         self.actions.timers.push((after, number));
     }
 
-    fn note(&mut self, text: &str) {
-        self.actions.notes.push(text.to_string());
+    fn log(&mut self, text: &str) {
+        self.actions.log_messages.push(text.to_string());
     }
 }
--- a/tables/tests/tables.rs
+++ b/tables/tests/tables.rs
@@ -68,7 +68,7 @@
         for (n, decision) in decisions.iter().enumerate() {
             match *decision {
                 Decision::Weigh(table, n, weight) => {
-                    tables.weigh(table, server(n), weight);
+                    tables.set_weight(table, server(n), weight);
                     if weight > 0.0 {
                         model.lines.insert((table, server(n)), weight);
                     } else {
@@ -76,7 +76,7 @@
                     }
                 }
                 Decision::Clear(table) => {
-                    tables.clear(table);
+                    tables.clear_table(table);
                     model.lines.retain(|(t, _), _| *t != table);
                     model.levels.retain(|(t, _), _| *t != table);
                 }
@@ -89,7 +89,7 @@
                     if withdrawn { model.withdrawn.insert(server(n)) } else { model.withdrawn.remove(&server(n)) };
                 }
                 Decision::Admit(table, classes, level) => {
-                    tables.admit(table, classes, level, 1);
+                    tables.set_level(table, classes, level, 1);
                     for class in (0..CLASSES as u16).filter(|c| classes == 0 || classes & (1 << c) != 0) {
                         model.levels.insert((table, class), level);
                     }
@@ -185,9 +185,9 @@
         let index = WeightedIndex::new(lines.clone());
         let weighted: Vec<_> = lines.iter().filter(|(_, weight)| **weight > 0.0).collect();
         let (mut sequence, mut count, rounds) = (GoldenSequence::new(0.3), BTreeMap::new(), 2000);
-        let mut rng = oatlever::chance::Chance::new(3);
+        let mut rng = oatlever::rng::Rng::new(3);
         for _ in 0..rounds {
-            let sample = index.sample(usize::from(max % 5) + 1, sequence.next_fraction(), || rng.part());
+            let sample = index.sample(usize::from(max % 5) + 1, sequence.next_fraction(), || rng.f64());
             let distinct: BTreeSet<_> = sample.iter().map(|line| line.server).collect();
             let expected = (usize::from(max % 5) + 1).min(weighted.len());
             if distinct.len() != sample.len() || sample.len() != expected {
@@ -232,7 +232,7 @@
             u64::from(round),
             RoundInputs { lists: 1, ..RoundInputs::default() },
         );
-        tables.weigh(0, server(round), 1.0);
+        tables.set_weight(0, server(round), 1.0);
         tables.end_round();
     }
     let changes: Vec<_> =
@@ -282,7 +282,7 @@
         Tables::new(1, 1, DeliveryTracker::new(&[AskerKind::Stream], 1, ANSWER_LIFETIME, 0.0), 10);
     let decide = |tables: &mut Tables, round: u64, weights: &[(u8, f64)]| {
         tables.begin_round(round as f64, round, RoundInputs::default());
-        weights.iter().for_each(|(n, weight)| tables.weigh(0, server(*n), *weight));
+        weights.iter().for_each(|(n, weight)| tables.set_weight(0, server(*n), *weight));
         tables.bind(0, 0);
         tables.mark(round, false);
         tables.end_round();
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -167,9 +167,9 @@
     }));
     backend.change_tables(|tables| {
         for table in 0..2u8 {
-            tables.weigh(u16::from(table), server_address(2 * table), 1.0);
-            tables.weigh(u16::from(table), server_address(2 * table + 1), 3.0);
-            tables.admit(u16::from(table), 2, 0.75, 1);
+            tables.set_weight(u16::from(table), server_address(2 * table), 1.0);
+            tables.set_weight(u16::from(table), server_address(2 * table + 1), 3.0);
+            tables.set_level(u16::from(table), 2, 0.75, 1);
         }
     });
     let class = |name: &str, at_most_once| Class { name: name.into(), at_most_once };
--- a/xds/tests/front/identities.rs
+++ b/xds/tests/front/identities.rs
@@ -245,7 +245,7 @@
         let fresh = next_proxies.sign("spiffe://shops/even/4", DAY);
         let mut new = discover(&fixture, &next_pilots, Some(&fresh), "relay-2").await.unwrap();
         new.accept(&["search"]).await;
-        fixture.backend.change_tables(|tables| tables.weigh(0, server_address(1), 9.0));
+        fixture.backend.change_tables(|tables| tables.set_weight(0, server_address(1), 9.0));
         old.accept(&["search"]).await;
         new.accept(&["search"]).await;
         assert!(fixture.backend.0.stream_events.borrow().iter().all(|(asker, up)| *up || *asker != 4));
--- a/xds/tests/front/streams.rs
+++ b/xds/tests/front/streams.rs
@@ -146,7 +146,7 @@
         // It has answered, so the response timeout does not apply: it would only reconnect and reject again.
         Timer::after(Duration::from_secs_f64(2.0 * RESPONSE_TIMEOUT)).await;
         assert_eq!(*backend.0.stream_events.borrow(), [(0, true)]);
-        backend.change_tables(|tables| tables.weigh(0, server_address(1), 1.0));
+        backend.change_tables(|tables| tables.set_weight(0, server_address(1), 1.0));
         let next = call.accept(&["search"]).await;
         assert_eq!(endpoint_shares(&decode_first(&next)).len(), 2);
         let version = backend.tables_version();
@@ -164,7 +164,7 @@
         fast.accept(&["search"]).await;
         let backend = fixture.backend.clone();
         for n in 0..200u8 {
-            backend.change_tables(|tables| tables.weigh(0, server_address(n % 50), f64::from(n) + 10.0));
+            backend.change_tables(|tables| tables.set_weight(0, server_address(n % 50), f64::from(n) + 10.0));
             let response = fast.accept(&["search"]).await;
             assert!(!endpoint_shares(&decode_first(&response)).is_empty());
         }
@@ -255,7 +255,7 @@
         let mut new = Call::discover(&fixture, "relay-6", &endpoints_url(), &["search"]).await;
         new.accept(&["search"]).await;
         assert!(old.ended().await);
-        fixture.backend.change_tables(|tables| tables.weigh(0, server_address(1), 9.0));
+        fixture.backend.change_tables(|tables| tables.set_weight(0, server_address(1), 9.0));
         assert_eq!(endpoint_shares(&decode_first(&new.accept(&["search"]).await))[1].2, 0.9);
         assert_eq!(*fixture.backend.0.stream_events.borrow(), [(6, true), (6, false), (6, true)]);
         assert_eq!(fixture.server.open_streams(), 1);
@@ -284,8 +284,9 @@
         let proxies: Vec<async_executor::Task<()>> = proxies.collect();
         let backend = fixture.backend.clone();
         backend.wait_until("all streams", |state| state.stream_events.borrow().len() == 480).await;
-        backend
-            .change_tables(|tables| (0..2u16).for_each(|table| tables.weigh(table, server_address(40), 2.0)));
+        backend.change_tables(|tables| {
+            (0..2u16).for_each(|table| tables.set_weight(table, server_address(40), 2.0))
+        });
         let version = backend.tables_version();
         backend
             .wait_until("all ACKs", |state| {
@@ -374,7 +375,7 @@
             call.sender.send(request("", &[], &response.nonce)).await.unwrap();
             fixture
                 .backend
-                .change_tables(|tables| tables.weigh(0, server_address(1), 5.0 + f64::from(round)));
+                .change_tables(|tables| tables.set_weight(0, server_address(1), 5.0 + f64::from(round)));
         }
     });
 }
@@ -387,7 +388,7 @@
         fixture.backend.0.tables.borrow_mut().set_max_versions(10);
         let mut call = Call::discover(&fixture, "relay-0", &endpoints_url(), &["search"]).await;
         let first = endpoint_shares(&decode_first(&call.accept(&["search"]).await));
-        fixture.backend.change_tables(|tables| tables.weigh(0, server_address(0), 9.0));
+        fixture.backend.change_tables(|tables| tables.set_weight(0, server_address(0), 9.0));
         let newer = call.next().await;
         assert_ne!(endpoint_shares(&decode_first(&newer)), first);
         let rollback = fixture
@@ -398,7 +399,7 @@
             .roll_back(0, 1, fixture.backend.now(), &mut NoReview)
             .unwrap();
         fixture.backend.0.changed.notify(usize::MAX);
-        fixture.backend.change_tables(|tables| tables.weigh(0, server_address(1), 8.0));
+        fixture.backend.change_tables(|tables| tables.set_weight(0, server_address(1), 8.0));
         call.sender.send(request("", &newer.type_url, &["search"], &newer.nonce)).await.unwrap();
         assert_eq!(endpoint_shares(&decode_first(&call.accept(&["search"]).await)), first);
         fixture
@@ -479,8 +480,9 @@
         let opened = |state: &State| state.stream_events.borrow().iter().filter(|(_, up)| *up).count();
         backend.wait_until("all streams", |state| opened(state) == 40).await;
         for n in 0..5u8 {
-            backend
-                .change_tables(|tables| (0..2).for_each(|table| tables.weigh(table, server_address(n), 5.0)));
+            backend.change_tables(|tables| {
+                (0..2).for_each(|table| tables.set_weight(table, server_address(n), 5.0))
+            });
         }
         let version = backend.tables_version();
         let current = |state: &State| {
