--- a/fetch/src/lib.rs
+++ b/fetch/src/lib.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Whose sockets and timers a call waits by.
-pub trait Net {
+pub trait Runtime {
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
     /// Dials, from a local address if one is named.
@@ -27,9 +27,9 @@
 }
 
 /// The reactor of `async-io`, which all threads share.
-pub struct Shared;
+pub struct AsyncIo;
 
-impl Net for Shared {
+impl Runtime for AsyncIo {
     type Stream = Async<TcpStream>;
 
     async fn connect(to: SocketAddr, from: Option<SocketAddr>) -> std::io::Result<Self::Stream> {
@@ -42,9 +42,9 @@
 }
 
 /// The reactor of a program with a single thread.
-pub struct Alone;
+pub struct SingleThreaded;
 
-impl Net for Alone {
+impl Runtime for SingleThreaded {
     type Stream = oatlever_reactor::Async<TcpStream>;
 
     async fn connect(to: SocketAddr, from: Option<SocketAddr>) -> std::io::Result<Self::Stream> {
@@ -56,19 +56,19 @@
     }
 }
 
-/// A place to read, `http://address:port/path`.
+/// A url to read, `http://address:port/path`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct HttpUrl {
     pub host: SocketAddr,
     pub path: String,
 }
 
-impl Place {
-    /// None where the text is no such place.
-    pub fn parse(text: &str) -> Option<Place> {
+impl HttpUrl {
+    /// None where the text is no such url.
+    pub fn parse(text: &str) -> Option<HttpUrl> {
         let rest = text.strip_prefix("http://")?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
-        Some(Place { host: host.parse().ok()?, path: format!("/{path}") })
+        Some(HttpUrl { host: host.parse().ok()?, path: format!("/{path}") })
     }
 }
 
@@ -81,22 +81,22 @@
 
 /// Why there is no answer.
 #[derive(Debug)]
-pub enum Failure {
+pub enum Error {
     /// No connection: nothing was asked.
     Connect(std::io::Error),
     /// The connection or the message broke.
     Broken(String),
-    TooLate(f64),
+    Timeout(f64),
     TooLarge(usize),
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Failure::Connect(e) => write!(f, "no connection: {e}"),
-            Failure::Broken(what) => write!(f, "broken answer: {what}"),
-            Failure::TooLate(patience) => write!(f, "no whole answer within {patience} s"),
-            Failure::TooLarge(most) => write!(f, "more than {most} bytes"),
+            Error::Connect(e) => write!(f, "no connection: {e}"),
+            Error::Broken(what) => write!(f, "broken answer: {what}"),
+            Error::Timeout(patience) => write!(f, "no whole answer within {patience} s"),
+            Error::TooLarge(most) => write!(f, "more than {most} bytes"),
         }
     }
 }
@@ -111,8 +111,8 @@
 
 impl Connection {
     /// Dials, from a local address if one is named. Has no limit on time. Errors: no connection.
-    pub async fn dial<N: Net>(host: SocketAddr, from: Option<SocketAddr>) -> Result<Self, Failure> {
-        let stream = N::connect(host, from).await.map_err(Failure::Connect)?;
+    pub async fn connect<N: Runtime>(host: SocketAddr, from: Option<SocketAddr>) -> Result<Self, Error> {
+        let stream = N::connect(host, from).await.map_err(Error::Connect)?;
         let handshake = hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await;
         let (sender, carrier) = handshake.map_err(broken)?;
         Ok(Connection { host, sender, carrier: Some(Box::pin(carrier)) })
@@ -125,12 +125,12 @@
     /// Asks for a path; `last` tells the other side that no call follows. Has no limit on time; one that is
     /// given up on under way must not be followed by another. Errors: the connection broke, or more than
     /// `most_bytes` came.
-    pub async fn get(&mut self, path: &str, last: bool, most_bytes: usize) -> Result<Answer, Failure> {
+    pub async fn get(&mut self, path: &str, last: bool, most_bytes: usize) -> Result<Answer, Error> {
         let mut request = hyper::Request::get(path).header("host", self.host.to_string());
         if last {
             request = request.header("connection", "close");
         }
-        let request = request.body(Empty::<Bytes>::new()).map_err(|e| Failure::Broken(e.to_string()))?;
+        let request = request.body(Empty::<Bytes>::new()).map_err(|e| Error::Broken(e.to_string()))?;
         let (sender, carrier) = (&mut self.sender, &mut self.carrier);
         let answered = async {
             // A new connection takes a call once it is being carried.
@@ -140,8 +140,8 @@
             let date = response.headers().get("date").and_then(|d| d.to_str().ok()).map(str::to_string);
             let body = Limited::new(response.into_body(), most_bytes).collect().await.map_err(|e| {
                 match e.downcast_ref::<http_body_util::LengthLimitError>() {
-                    Some(_) => Failure::TooLarge(most_bytes),
-                    None => Failure::Broken(e.to_string()),
+                    Some(_) => Error::TooLarge(most_bytes),
+                    None => Error::Broken(e.to_string()),
                 }
             })?;
             Ok(Answer { status, date, body: body.to_bytes().to_vec() })
@@ -159,18 +159,18 @@
     }
 }
 
-fn broken(e: hyper::Error) -> Failure {
-    Failure::Broken(e.to_string())
+fn broken(e: hyper::Error) -> Error {
+    Error::Broken(e.to_string())
 }
 
 /// What `work` comes to, within `patience` seconds.
-pub async fn within<N: Net, T>(
+pub async fn with_timeout<N: Runtime, T>(
     patience: f64,
-    work: impl Future<Output = Result<T, Failure>>,
-) -> Result<T, Failure> {
+    work: impl Future<Output = Result<T, Error>>,
+) -> Result<T, Error> {
     let late = async {
         N::sleep(Duration::from_secs_f64(patience)).await;
-        Err(Failure::TooLate(patience))
+        Err(Error::Timeout(patience))
     };
     future::or(work, late).await
 }
@@ -205,14 +205,14 @@
     }
 }
 
-/// Reads a place within `patience` seconds and `most_bytes` of body, from a local address if one is named.
-pub async fn get<N: Net>(
-    place: &Place,
+/// Reads a url within `patience` seconds and `most_bytes` of body, from a local address if one is named.
+pub async fn get<N: Runtime>(
+    url: &HttpUrl,
     from: Option<SocketAddr>,
     patience: f64,
     most_bytes: usize,
-) -> Result<Answer, Failure> {
+) -> Result<Answer, Error> {
     let asked =
-        async { Connection::dial::<N>(place.host, from).await?.get(&place.path, true, most_bytes).await };
-    within::<N, _>(patience, asked).await
+        async { Connection::connect::<N>(url.host, from).await?.get(&url.path, true, most_bytes).await };
+    with_timeout::<N, _>(patience, asked).await
 }
--- a/identity/src/certificate.rs
+++ b/identity/src/certificate.rs
@@ -10,7 +10,7 @@
     /// is not looked at: it is a text for people.
     pub names: Vec<String>,
     /// Unix time that it runs out at, s.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 /// Names kept of one certificate; the handshake's own limit on size bounds their length.
@@ -18,7 +18,7 @@
 
 impl Peer {
     /// Reads a certificate (DER). Errors: it is none.
-    pub fn read(der: &[u8]) -> Result<Peer, String> {
+    pub fn from_der(der: &[u8]) -> Result<Peer, String> {
         let (_, certificate) =
             X509Certificate::from_der(der).map_err(|e| format!("not a certificate: {e}"))?;
         let names = certificate.subject_alternative_name().map_err(|e| format!("its names: {e}"))?;
@@ -28,7 +28,7 @@
             _ => None,
         });
         // The last second counts (RFC 5280, 4.1.2.5).
-        let until = certificate.validity().not_after.timestamp() as f64 + 1.0;
-        Ok(Peer { names: names.take(NAMES).collect(), until })
+        let expires_at = certificate.validity().not_after.timestamp() as f64 + 1.0;
+        Ok(Peer { names: names.take(NAMES).collect(), expires_at })
     }
 }
--- a/identity/src/grants.rs
+++ b/identity/src/grants.rs
@@ -10,7 +10,7 @@
 
 /// What an identity may be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Scope {
     Node(String),
     /// Any node of the zone of this name.
     Zone(String),
@@ -20,7 +20,7 @@
 pub struct Grant {
     /// A name in the certificate; one that ends in `*` stands for all that begin like it.
     pub identity: String,
-    pub to: To,
+    pub scope: Scope,
 }
 
 /// A node as the settings have it.
@@ -70,10 +70,10 @@
 }
 
 impl Granted {
-    fn add(&mut self, to: &To) {
-        match to {
-            To::Node(node) => self.nodes.insert(node.clone()),
-            To::Zone(zone) => self.zones.insert(zone.clone()),
+    fn add(&mut self, scope: &Scope) {
+        match scope {
+            Scope::Node(node) => self.nodes.insert(node.clone()),
+            Scope::Zone(zone) => self.zones.insert(zone.clone()),
         };
     }
 
@@ -99,7 +99,7 @@
     pub fn new(grants: &[Grant]) -> Self {
         let mut all = Grants { any: !grants.is_empty(), ..Grants::default() };
         for grant in grants {
-            if let To::Node(node) = &grant.to {
+            if let Scope::Node(node) = &grant.scope {
                 all.named.insert(node.clone());
             }
             let granted = match grant.identity.strip_suffix('*') {
@@ -109,7 +109,7 @@
                 }
                 None => all.whole.entry(grant.identity.clone()).or_default(),
             };
-            granted.add(&grant.to);
+            granted.add(&grant.scope);
         }
         all
     }
@@ -126,7 +126,7 @@
 
     /// Whether a peer may come as a node now, Unix time in s. `claimed` is the zone that it says it sits in,
     /// if it says any. Without grants every node is open to whoever can connect; its zone must still agree.
-    pub fn admit(
+    pub fn authorize(
         &self,
         peer: Option<&Peer>,
         node: Node,
@@ -139,8 +139,8 @@
             return Err(Denied::OtherZone { node: named(), zone, claimed });
         }
         // One that has run out proves nothing, whether or not grants ask for it.
-        if let Some(peer) = peer.filter(|peer| peer.until <= now) {
-            return Err(Denied::Expired(now - peer.until));
+        if let Some(peer) = peer.filter(|peer| peer.expires_at <= now) {
+            return Err(Denied::Expired(now - peer.expires_at));
         }
         if !self.any {
             return Ok(());
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -15,7 +15,7 @@
 const PROTOCOL: &[u8] = b"h2";
 
 #[derive(Clone, Debug)]
-pub struct Files {
+pub struct TlsFiles {
     /// The certificate and those above it, PEM.
     pub certificate: PathBuf,
     /// Its private key, PEM.
@@ -41,7 +41,7 @@
     Ok(read)
 }
 
-impl Files {
+impl TlsFiles {
     fn read(&self) -> Result<Texts, String> {
         let read = |path: &PathBuf| std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()));
         Ok(Texts {
@@ -84,25 +84,25 @@
 }
 
 /// The keys in use.
-pub struct Keys {
-    files: Files,
+pub struct TlsKeys {
+    files: TlsFiles,
     texts: Texts,
     config: Arc<ServerConfig>,
     /// Why the files as they are now are not in use.
     trouble: Option<String>,
 }
 
-impl Keys {
+impl TlsKeys {
     /// Errors: which file can't be used, and why.
-    pub fn load(files: Files) -> Result<Keys, String> {
+    pub fn load(files: TlsFiles) -> Result<TlsKeys, String> {
         let texts = files.read()?;
         let config = Arc::new(files.config(&texts)?);
-        Ok(Keys { files, texts, config, trouble: None })
+        Ok(TlsKeys { files, texts, config, trouble: None })
     }
 
     /// Looks at the files again. True where new keys were taken up. Errors, told once for each trouble: why
     /// the old ones stay.
-    pub fn refresh(&mut self) -> Result<bool, String> {
+    pub fn reload(&mut self) -> Result<bool, String> {
         let fresh = self.files.read().and_then(|texts| {
             if texts == self.texts {
                 return Ok(None);
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -8,5 +8,5 @@
 mod keys;
 
 pub use certificate::Peer;
-pub use grants::{Denied, Grant, Grants, Node, To};
-pub use keys::{Files, Keys};
+pub use grants::{Denied, Grant, Grants, Node, Scope};
+pub use keys::{TlsFiles, TlsKeys};
--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -50,21 +50,21 @@
     }
 
     /// A field, where it is there and not null.
-    pub fn maybe(&self, key: &str) -> Option<Node<'a>> {
+    pub fn optional(&self, key: &str) -> Option<Node<'a>> {
         let dot = if self.path.is_empty() { "" } else { "." };
         let found = self.value.get(key).filter(|value| !value.is_null());
         found.map(|value| Node { value, path: format!("{}{dot}{key}", self.path) })
     }
 
-    pub fn get(&self, key: &str) -> Result<Node<'a>, Malformed> {
-        match self.maybe(key) {
+    pub fn required(&self, key: &str) -> Result<Node<'a>, Malformed> {
+        match self.optional(key) {
             Some(node) => Ok(node),
             None if self.path.is_empty() => malformed(format!("`{key}` is missing")),
             None => malformed(format!("`{key}` is missing in `{}`", self.path)),
         }
     }
 
-    pub fn wrong<T>(&self, wanted: &str) -> Result<T, Malformed> {
+    pub fn invalid<T>(&self, wanted: &str) -> Result<T, Malformed> {
         let text = self.value.to_string();
         let told: String = text.chars().take(TOLD).collect();
         let more = if told.len() < text.len() { "..." } else { "" };
@@ -74,24 +74,24 @@
     pub fn number(&self, least: f64, most: f64) -> Result<f64, Malformed> {
         match self.value.as_f64() {
             Some(x) if x >= least && x <= most => Ok(x),
-            _ if least == f64::MIN_POSITIVE => self.wrong(&format!("a number above 0, to {most}")),
-            _ => self.wrong(&format!("a number from {least} to {most}")),
+            _ if least == f64::MIN_POSITIVE => self.invalid(&format!("a number above 0, to {most}")),
+            _ => self.invalid(&format!("a number from {least} to {most}")),
         }
     }
 
-    pub fn whole(&self, least: f64, most: f64) -> Result<f64, Malformed> {
+    pub fn integer(&self, least: f64, most: f64) -> Result<f64, Malformed> {
         match self.number(least, most) {
             Ok(x) if x.fract() == 0.0 => Ok(x),
-            _ => self.wrong(&format!("a whole number from {least} to {most}")),
+            _ => self.invalid(&format!("a whole number from {least} to {most}")),
         }
     }
 
     fn num(&self, key: &str) -> Result<f64, Malformed> {
-        self.get(key)?.number(0.0, MOST)
+        self.required(key)?.number(0.0, MOST)
     }
 
     fn above_0(&self, key: &str) -> Result<f64, Malformed> {
-        self.get(key)?.number(f64::MIN_POSITIVE, MOST)
+        self.required(key)?.number(f64::MIN_POSITIVE, MOST)
     }
 
     fn seconds(&self, key: &str) -> Result<f64, Malformed> {
@@ -103,38 +103,38 @@
     }
 
     fn flag(&self, key: &str) -> Result<bool, Malformed> {
-        match self.maybe(key) {
+        match self.optional(key) {
             None => Ok(false),
             Some(node) => match node.value.as_bool() {
                 Some(on) => Ok(on),
-                None => node.wrong("true or false"),
+                None => node.invalid("true or false"),
             },
         }
     }
 
-    pub fn text(&self) -> Result<&'a str, Malformed> {
+    pub fn string(&self) -> Result<&'a str, Malformed> {
         match self.value.as_str() {
             Some(text) => Ok(text),
-            None => self.wrong("a text"),
+            None => self.invalid("a text"),
         }
     }
 
     /// What one of some words means.
     fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, Malformed> {
-        let node = self.get(key)?;
+        let node = self.required(key)?;
         match words.iter().find(|(word, _)| node.value.as_str() == Some(word)) {
             Some((_, meant)) => Ok(*meant),
             None => {
                 let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-                node.wrong(&format!("one of {}", all.join(", ")))
+                node.invalid(&format!("one of {}", all.join(", ")))
             }
         }
     }
 
     fn items(&self, key: &str) -> Result<Vec<Node<'a>>, Malformed> {
-        let node = self.get(key)?;
+        let node = self.required(key)?;
         let Some(list) = node.value.as_array() else {
-            return node.wrong("a list");
+            return node.invalid("a list");
         };
         let item = |(k, value)| Node { value, path: format!("{}[{k}]", node.path) };
         Ok(list.iter().enumerate().map(item).collect())
@@ -146,12 +146,12 @@
     let mut names: Vec<String> = Vec::new();
     for node in nodes {
         let node = node?;
-        let name = node.text()?;
+        let name = node.string()?;
         if name.is_empty() || name.len() > LONGEST_NAME {
-            return node.wrong(&format!("a name of 1 to {LONGEST_NAME} bytes"));
+            return node.invalid(&format!("a name of 1 to {LONGEST_NAME} bytes"));
         }
         if names.iter().any(|other| other == name) {
-            return node.wrong("another name than those before it");
+            return node.invalid("another name than those before it");
         }
         names.push(name.to_string());
     }
@@ -160,7 +160,7 @@
 
 /// What the decisions are told at their start.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct InstanceSettings {
     pub site: Site,
     pub classes: Vec<QueryClass>,
     pub channel: Channel,
@@ -169,61 +169,60 @@
 
 /// What a pilot on the platform is told besides: the names that its messages use, and its pace.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Names {
+pub struct PlatformSettings {
     /// In the order of their numbers.
     pub zones: Vec<String>,
     pub classes: Vec<String>,
     /// Least span between two rounds.
     pub tick: f64,
     /// How long a connection to a server may take to come up.
-    pub connect_within: f64,
+    pub connect_timeout: f64,
 }
 
 /// Reads the text of the settings. Errors: it is not JSON, or something in it is missing or odd.
-pub fn read(text: &[u8]) -> Result<Start, Malformed> {
+pub fn parse(text: &[u8]) -> Result<InstanceSettings, Malformed> {
     match serde_json::from_slice(text) {
-        Ok(value) => {
-            start(&Node::root(&value)).map_err(|Malformed(what)| Malformed(format!("settings: {what}")))
-        }
+        Ok(value) => instance_settings(&Node::root(&value))
+            .map_err(|Malformed(what)| Malformed(format!("settings: {what}"))),
         Err(e) => malformed(format!("settings are not JSON: {e}")),
     }
 }
 
 /// The names in the settings. Errors: one is missing or is no name of its own.
-pub fn names(settings: &Node) -> Result<Names, Malformed> {
-    Ok(Names {
+pub fn platform_settings(settings: &Node) -> Result<PlatformSettings, Malformed> {
+    Ok(PlatformSettings {
         zones: distinct(settings.items("zones")?.into_iter().map(Ok))?,
-        classes: distinct(settings.items("lanes")?.iter().map(|lane| lane.get("name")))?,
-        tick: settings.get("tick-ms")?.number(0.0, LONGEST_TICK)? / 1000.0,
-        connect_within: settings.get("limits")?.seconds_above_0("connect-timeout-ms")?,
+        classes: distinct(settings.items("lanes")?.iter().map(|lane| lane.required("name")))?,
+        tick: settings.required("tick-ms")?.number(0.0, LONGEST_TICK)? / 1000.0,
+        connect_timeout: settings.required("limits")?.seconds_above_0("connect-timeout-ms")?,
     })
 }
 
 /// What the decisions are told. Errors: something is missing, or is not what it should be.
-pub fn start(settings: &Node) -> Result<Start, Malformed> {
-    let info = settings.get("family-info")?;
-    let limits = settings.get("limits")?;
-    let rules = settings.get("rules")?;
+pub fn instance_settings(settings: &Node) -> Result<InstanceSettings, Malformed> {
+    let info = settings.required("family-info")?;
+    let limits = settings.required("limits")?;
+    let rules = settings.required("rules")?;
 
     let mut classes = Vec::new();
     for lane in settings.items("lanes")? {
         classes.push(QueryClass { benefit: lane.num("worth")?, due_time: lane.seconds_above_0("slo-ms")? });
     }
     if classes.is_empty() || classes.len() > MOST_CLASSES {
-        return settings.get("lanes")?.wrong("a list of 1 to 16 classes");
+        return settings.required("lanes")?.invalid("a list of 1 to 16 classes");
     }
     let zones = settings.items("zones")?.len();
     if zones == 0 || zones as f64 >= NUMBERS {
-        return settings.get("zones")?.wrong("a list of one zone or more");
+        return settings.required("zones")?.invalid("a list of one zone or more");
     }
-    let most_messages = info.get("reloads-max")?.whole(0.0, MOST)? as usize;
+    let most_messages = info.required("reloads-max")?.integer(0.0, MOST)? as usize;
     let list_on_request = settings.word("registry-mode", &[("pushed", false), ("on_request", true)])?;
-    Ok(Start {
+    Ok(InstanceSettings {
         site: Site {
             zones,
-            pilots: (settings.get("siblings")?.whole(0.0, NUMBERS)? as usize).max(1),
-            proxies: info.get("data-plane-size")?.whole(1.0, NUMBERS)?,
-            slices: info.get("partitions-n")?.whole(0.0, NUMBERS)? as usize,
+            pilots: (settings.required("siblings")?.integer(0.0, NUMBERS)? as usize).max(1),
+            proxies: info.required("data-plane-size")?.integer(1.0, NUMBERS)?,
+            slices: info.required("partitions-n")?.integer(0.0, NUMBERS)? as usize,
             one_owner: info.flag("one-owner")?,
             list_on_request,
             probes: limits.flag("probes")?,
@@ -253,7 +252,7 @@
                 true => rules.seconds_above_0("ask-within-ms")?,
                 false => rules.seconds("ask-within-ms")?,
             },
-            cold_share: rules.get("start-capacity")?.number(0.0, 1.0)?,
+            cold_share: rules.required("start-capacity")?.number(0.0, 1.0)?,
             warm_within: rules.seconds("warm-within-ms")?,
             fall_multiple: rules.above_0("fall-multiple")?,
             gone_does_not_bind: rules.flag("only-draining-binds")?,
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -284,7 +284,7 @@
 
     /// Forgets what targets gave that are read no more: server addresses come and go for as long as a pilot
     /// lives, and each would leave its counters behind.
-    pub fn read_only(&mut self, targets: &BTreeMap<Target, oatlever_fetch::Place>) {
+    pub fn read_only(&mut self, targets: &BTreeMap<Target, oatlever_fetch::HttpUrl>) {
         self.counters.retain(|target, _| targets.contains_key(target));
         let book = &self.book;
         self.sums.in_flight.retain(|server, _| book.known(server).is_some());
--- a/pilot/src/platform/configuration.rs
+++ b/pilot/src/platform/configuration.rs
@@ -1,7 +1,7 @@
 //! What a pilot on the platform is told at its start, and again where that is replaced.
 
 use super::LEAST_SOCKETS;
-use oatlever_instance::{Malformed, Names, Node, Start};
+use oatlever_instance::{InstanceSettings, Malformed, Node, PlatformSettings};
 use oatlever_roster::platform::PlatformDocument;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -27,8 +27,8 @@
     pub memory: usize,
     /// The list of servers as this pilot last had it.
     pub known: PlatformDocument,
-    pub start: Start,
-    pub names: Names,
+    pub start: InstanceSettings,
+    pub names: PlatformSettings,
 }
 
 /// What the file leaves out the environment says, by these names.
@@ -43,10 +43,10 @@
     variable: &str,
     environment: &impl Fn(&str) -> Option<String>,
 ) -> Result<SocketAddr, String> {
-    match (root.maybe(field), environment(variable)) {
+    match (root.optional(field), environment(variable)) {
         (Some(told), _) => {
-            let text = told.text().map_err(|e| e.to_string())?;
-            text.parse().or_else(|_| told.wrong("an address with a port")).map_err(|e| e.to_string())
+            let text = told.string().map_err(|e| e.to_string())?;
+            text.parse().or_else(|_| told.invalid("an address with a port")).map_err(|e| e.to_string())
         }
         (None, Some(text)) => text.parse().map_err(|e| format!("{variable} {text:?}: {e}")),
         (None, None) => Err(format!("`{field}` is missing, and {variable} is not set")),
@@ -75,35 +75,41 @@
         listen: SocketAddr,
         discovery: SocketAddr,
     ) -> Result<Self, Malformed> {
-        let settings = root.get("settings")?;
-        let (names, start) = (oatlever_instance::names(&settings)?, oatlever_instance::start(&settings)?);
+        let settings = root.required("settings")?;
+        let (names, start) = (
+            oatlever_instance::platform_settings(&settings)?,
+            oatlever_instance::instance_settings(&settings)?,
+        );
         if start.site.slices > 0 {
             // The protocol has no words for them, so such a pilot would serve nobody.
-            return settings.get("family-info")?.get("partitions-n")?.wrong("0, as slices are not served");
+            return settings
+                .required("family-info")?
+                .required("partitions-n")?
+                .invalid("0, as slices are not served");
         }
-        let seed = root.get("seed")?;
-        let number = u64::from_str_radix(seed.text()?, 16);
-        let limits = root.maybe("limits");
+        let seed = root.required("seed")?;
+        let number = u64::from_str_radix(seed.string()?, 16);
+        let limits = root.optional("limits");
         if let Some(limits) = limits.iter().find(|limits| !limits.value().is_object()) {
-            return limits.wrong("an object");
+            return limits.invalid("an object");
         }
         let limit = |key: &str, least: f64, usual: f64| {
-            let told = limits.as_ref().and_then(|limits| limits.maybe(key));
+            let told = limits.as_ref().and_then(|limits| limits.optional(key));
             told.map_or(Ok(usual), |told| told.number(least, MOST))
         };
-        let known = match root.maybe("known") {
+        let known = match root.optional("known") {
             Some(known) => PlatformDocument::from_value(known.value(), &names.zones)
-                .or_else(|what| known.wrong(&format!("usable: {what}")))?,
+                .or_else(|what| known.invalid(&format!("usable: {what}")))?,
             None => PlatformDocument::empty(),
         };
         Ok(Configuration {
-            name: match root.maybe("name") {
-                Some(told) => told.text()?.to_string(),
+            name: match root.optional("name") {
+                Some(told) => told.string()?.to_string(),
                 None => name.unwrap_or_default(),
             },
             listen,
             discovery,
-            seed: number.or_else(|_| seed.wrong("a number in hexadecimal"))?,
+            seed: number.or_else(|_| seed.invalid("a number in hexadecimal"))?,
             sockets: limit("sockets", LEAST_SOCKETS as f64, USUAL_SOCKETS)? as usize,
             memory: (limit("memory_mb", 1.0, USUAL_MEMORY)? * MIB) as usize,
             known,
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -4,7 +4,7 @@
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, Beliefs, HealthAnswer, List, ListNews, Round, Stream, Tries};
-use oatlever_instance::Start;
+use oatlever_instance::InstanceSettings;
 use oatlever_platform::message::{self, Join, Message, Wrong, ALIVE};
 use oatlever_platform::{patience, Connection, Joining, Names, Publisher, Role, Sessions};
 use oatlever_roster::platform::{Origin, PlatformDocument, Register};
@@ -82,7 +82,7 @@
 }
 
 impl Controller {
-    pub fn new(start: Start, names: &oatlever_instance::Names, seed: u64) -> Self {
+    pub fn new(start: InstanceSettings, names: &oatlever_instance::PlatformSettings, seed: u64) -> Self {
         let names = Names {
             zones: names.zones.clone(),
             classes: names.classes.clone(),
--- a/pilot/src/platform/mod.rs
+++ b/pilot/src/platform/mod.rs
@@ -20,7 +20,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use oatlever::round::Address;
-use oatlever_fetch::Alone;
+use oatlever_fetch::SingleThreaded;
 use oatlever_reactor::{Async, Timer};
 use oatlever_roster::platform::Origin;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -75,9 +75,13 @@
     }
 }
 
-async fn rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>, names: oatlever_instance::Names) {
+async fn rounds(
+    pilot: Rc<Pilot>,
+    executor: Rc<LocalExecutor<'static>>,
+    names: oatlever_instance::PlatformSettings,
+) {
     let probes = Rc::new(Probes::new(CHECKS_AT_ONCE));
-    let (tick, patience) = (Duration::from_secs_f64(names.tick), names.connect_within * CHECK_PATIENCE);
+    let (tick, patience) = (Duration::from_secs_f64(names.tick), names.connect_timeout * CHECK_PATIENCE);
     loop {
         let listener = pilot.news.listen();
         let now = pilot.clock.now();
@@ -109,7 +113,7 @@
 }
 
 async fn check(pilot: Rc<Pilot>, server: Address, process: Process, probes: Rc<Probes>, patience: f64) {
-    let fine = probes.is_fine::<Alone>(process.0, HEALTH.to_string(), patience).await;
+    let fine = probes.is_fine::<SingleThreaded>(process.0, HEALTH.to_string(), patience).await;
     pilot.controller.borrow_mut().checked(server, process, fine);
     pilot.tell();
 }
@@ -118,7 +122,7 @@
 ///
 /// Guards against the file of another deployment, whose discovery lists servers that no proxy here may be
 /// sent to.
-fn reload(pilot: &Pilot, path: &Path, names: &oatlever_instance::Names) -> bool {
+fn reload(pilot: &Pilot, path: &Path, names: &oatlever_instance::PlatformSettings) -> bool {
     let ours =
         |fresh: &Configuration| (&fresh.names.zones, &fresh.names.classes) == (&names.zones, &names.classes);
     let fresh = Configuration::load(path).and_then(|fresh| match ours(&fresh) {
--- a/pilot/src/probes.rs
+++ b/pilot/src/probes.rs
@@ -17,9 +17,9 @@
     }
 
     /// Whether a server answers 200 within `patience` seconds of its turn.
-    pub async fn is_fine<N: fetch::Net>(&self, host: SocketAddr, path: String, patience: f64) -> bool {
+    pub async fn is_fine<N: fetch::Runtime>(&self, host: SocketAddr, path: String, patience: f64) -> bool {
         let _turn = self.turns.acquire().await;
-        let got = fetch::get::<N>(&fetch::Place { host, path }, None, patience, MOST_BYTES).await;
+        let got = fetch::get::<N>(&fetch::HttpUrl { host, path }, None, patience, MOST_BYTES).await;
         got.is_ok_and(|answer| answer.status == 200)
     }
 }
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -11,7 +11,7 @@
 use oatlever::round::Address;
 use oatlever_dns::{Front, Gate, Handler, TcpLimits, Via};
 use oatlever_fetch as fetch;
-use oatlever_identity::{Files, Grant, Grants, Keys, Node, Peer, To};
+use oatlever_identity::{Grant, Grants, Node, Peer, Scope, TlsFiles, TlsKeys};
 use oatlever_reports::{Target, Text};
 use oatlever_roster::{Cache, Moment, Source};
 use oatlever_settings::{Settings, Tls, Xds};
@@ -84,14 +84,14 @@
 
 impl StreamDesk {
     fn new(pilot: Rc<Pilot>, settings: &Settings, xds: &Xds) -> Self {
-        let to = |grant: &oatlever_settings::Grant| match (&grant.node, &grant.zone) {
-            (Some(node), _) => Some(To::Node(node.clone())),
-            (_, zone) => zone.clone().map(To::Zone),
+        let scope = |grant: &oatlever_settings::Grant| match (&grant.node, &grant.zone) {
+            (Some(node), _) => Some(Scope::Node(node.clone())),
+            (_, zone) => zone.clone().map(Scope::Zone),
         };
         let grants = xds
             .grants
             .iter()
-            .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), to: to(grant)? }));
+            .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), scope: scope(grant)? }));
         let nodes = settings.askers.iter().enumerate();
         let nodes = nodes.filter_map(|(place, asker)| Some((asker.node.clone()?, place as u16)));
         StreamDesk { pilot, grants: Grants::new(&grants.collect::<Vec<_>>()), askers: nodes.collect() }
@@ -107,7 +107,7 @@
         let asker = *self.askers.get(node).ok_or_else(|| format!("no asker has the node {node:?}"))?;
         let core = self.pilot.core.borrow();
         let known = Node { name: node, zone: &core.settings.askers[usize::from(asker)].zone };
-        let admitted = self.grants.admit(peer, known, zone, self.unix());
+        let admitted = self.grants.authorize(peer, known, zone, self.unix());
         admitted.map(|()| asker).map_err(|denied| {
             tracing::warn!(%denied, "proxy not let in");
             denied.to_string()
@@ -168,10 +168,10 @@
         self.0.core.borrow().targets_version
     }
 
-    fn targets(&self) -> BTreeMap<Target, fetch::Place> {
+    fn targets(&self) -> BTreeMap<Target, fetch::HttpUrl> {
         let mut core = self.0.core.borrow_mut();
         let askers = core.settings.askers.iter().enumerate().filter_map(|(place, asker)| {
-            let place_to_read = asker.metrics.as_ref().and_then(|url| fetch::Place::parse(url))?;
+            let place_to_read = asker.metrics.as_ref().and_then(|url| fetch::HttpUrl::parse(url))?;
             Some((Target::Asker(place as u16), place_to_read))
         });
         // What a list dropped is read on while tables name it: it may serve, and the list may err.
@@ -179,7 +179,7 @@
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
             let host = SocketAddr::V4(core.book.known(&server)?.metrics?);
-            Some((Target::Server(server), fetch::Place { host, path: "/metrics".to_string() }))
+            Some((Target::Server(server), fetch::HttpUrl { host, path: "/metrics".to_string() }))
         });
         let targets = askers.chain(servers).collect();
         core.read_only(&targets);
@@ -233,7 +233,7 @@
 async fn check(pilot: Rc<Pilot>, server: oatlever::round::Address, probes: Rc<Probes>) {
     let Some(checks) = pilot.core.borrow().settings.checks.clone() else { return };
     let host = SocketAddr::from((server.host, server.port));
-    let fine = probes.is_fine::<oatlever_fetch::Shared>(host, checks.path, checks.patience).await;
+    let fine = probes.is_fine::<oatlever_fetch::AsyncIo>(host, checks.path, checks.patience).await;
     let mut core = pilot.core.borrow_mut();
     core.counts.checks += 1;
     core.checked(server, fine);
@@ -254,13 +254,13 @@
     made.map_err(|e| format!("{at}: cannot listen on {host} over {over}: {e}"))
 }
 
-fn keys(tls: &Tls) -> Result<Keys, String> {
-    let files = Files {
+fn keys(tls: &Tls) -> Result<TlsKeys, String> {
+    let files = TlsFiles {
         certificate: tls.certificate.clone().into(),
         key: tls.key.clone().into(),
         authorities: tls.authorities.clone().map(Into::into),
     };
-    Keys::load(files).map_err(|e| format!("/xds/tls: {e}"))
+    TlsKeys::load(files).map_err(|e| format!("/xds/tls: {e}"))
 }
 
 /// Waits until standard input ends; for good where it can't be waited for, as it is a file.
--- a/reports/src/reader.rs
+++ b/reports/src/reader.rs
@@ -21,7 +21,7 @@
     /// Counts changes of the targets.
     fn targets_version(&self) -> u64;
     /// All targets now, and where each is read.
-    fn targets(&self) -> BTreeMap<Target, fetch::Place>;
+    fn targets(&self) -> BTreeMap<Target, fetch::HttpUrl>;
     /// A text asked for at `asked`, or why there is none.
     fn reading(&self, target: Target, asked: Instant, text: Result<Text, String>);
 }
@@ -34,7 +34,7 @@
 struct Schedule {
     began: Instant,
     period: f64,
-    places: BTreeMap<Target, fetch::Place>,
+    places: BTreeMap<Target, fetch::HttpUrl>,
     /// Each target's part of the period.
     phases: BTreeMap<Target, f64>,
     order: BTreeSet<(Instant, Target)>,
@@ -50,7 +50,7 @@
         self.began + Duration::from_secs_f64(turns * self.period + phase)
     }
 
-    fn follow(&mut self, places: BTreeMap<Target, fetch::Place>, now: Instant) {
+    fn follow(&mut self, places: BTreeMap<Target, fetch::HttpUrl>, now: Instant) {
         self.order.retain(|(_, target)| places.contains_key(target));
         self.phases.retain(|target, _| places.contains_key(target));
         for target in places.keys().filter(|target| !self.places.contains_key(target)) {
@@ -65,7 +65,7 @@
     }
 
     /// A target whose turn has come.
-    fn start(&mut self, now: Instant) -> Option<(Target, fetch::Place)> {
+    fn start(&mut self, now: Instant) -> Option<(Target, fetch::HttpUrl)> {
         let first = self.order.first().copied().filter(|(at, _)| *at <= now)?;
         self.order.remove(&first);
         self.busy.insert(first.1);
@@ -97,7 +97,7 @@
             let Some((target, place)) = schedule.start(now) else { break };
             under_way.push(async move {
                 let asked = Instant::now();
-                let got = fetch::get::<fetch::Shared>(&place, None, patience, most_bytes).await;
+                let got = fetch::get::<fetch::AsyncIo>(&place, None, patience, most_bytes).await;
                 let text = match got {
                     Ok(answer) if answer.status == 200 => Text::read(&answer.body),
                     Ok(answer) => Err(format!("status {}", answer.status)),
--- a/roster/src/platform.rs
+++ b/roster/src/platform.rs
@@ -4,7 +4,7 @@
 //! The decisions know servers by short numbers in the form of an address, which [`Register`] gives out.
 
 use oatlever::round::{Address, Entry, List, ListNews, Readiness};
-use oatlever_fetch::{self as fetch, Alone};
+use oatlever_fetch::{self as fetch, SingleThreaded};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -315,17 +315,20 @@
             if let Some(mut kept) = kept {
                 // Whoever listens there may have ended it meanwhile; then it is dialled anew, once.
                 match kept.get(&path, false, LONGEST_DOCUMENT).await {
-                    Err(fetch::Failure::Broken(_)) => {}
+                    Err(fetch::Error::Broken(_)) => {}
                     other => return other.map(|answer| (kept, answer)),
                 }
             }
             // Guards against a silent machine that takes the whole wait before a word is said.
-            let mut fresh =
-                fetch::within::<Alone, _>(patience, fetch::Connection::dial::<Alone>(host, None)).await?;
+            let mut fresh = fetch::with_timeout::<SingleThreaded, _>(
+                patience,
+                fetch::Connection::connect::<SingleThreaded>(host, None),
+            )
+            .await?;
             let answer = fresh.get(&path, false, LONGEST_DOCUMENT).await?;
             Ok((fresh, answer))
         };
-        let got = fetch::within::<Alone, _>(wait + patience, asked).await;
+        let got = fetch::with_timeout::<SingleThreaded, _>(wait + patience, asked).await;
         let missed = |answered: bool, what: String| Missed { what: format!("{host}: {what}"), answered };
         let (kept, answer) = got.map_err(|e| missed(false, e.to_string()))?;
         if answer.status != 200 {
--- a/roster/src/reader.rs
+++ b/roster/src/reader.rs
@@ -10,7 +10,7 @@
 /// Where documents come from.
 #[derive(Clone, Debug)]
 pub enum Source {
-    Http(fetch::Place),
+    Http(fetch::HttpUrl),
     File(PathBuf),
 }
 
@@ -19,7 +19,7 @@
     pub fn parse(text: &str) -> Option<Source> {
         match text.strip_prefix("file://") {
             Some(path) => Some(Source::File(path.into())),
-            None => fetch::Place::parse(text).map(Source::Http),
+            None => fetch::HttpUrl::parse(text).map(Source::Http),
         }
     }
 
@@ -28,7 +28,7 @@
         let unix = |time: SystemTime| time.duration_since(UNIX_EPOCH).ok().map(|t| t.as_secs_f64());
         match self {
             Source::Http(place) => {
-                let got = fetch::get::<fetch::Shared>(place, None, patience, most)
+                let got = fetch::get::<fetch::AsyncIo>(place, None, patience, most)
                     .await
                     .map_err(|e| e.to_string())?;
                 if got.status != 200 {
--- a/standins/src/askers.rs
+++ b/standins/src/askers.rs
@@ -12,7 +12,7 @@
 use domain::base::{Message, MessageBuilder, Name};
 use domain::rdata::{Srv, A};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use oatlever_fetch::{get, Failure, Place};
+use oatlever_fetch::{get, Error, HttpUrl};
 use prometheus_client::metrics::{counter::Counter, family::Family, histogram::Histogram};
 use prometheus_client::registry::Registry;
 use std::cell::{Cell, RefCell};
@@ -303,14 +303,14 @@
     ) -> Option<bool> {
         let kind = &world.script.classes[class];
         let host = SocketAddr::from((server, SERVICE_PORT));
-        let place = Place { host, path: format!("/{}/{query}", kind.name) };
+        let place = HttpUrl { host, path: format!("/{}/{query}", kind.name) };
         let left = (begun + kind.abandon - world.now()).max(0.01);
-        match get::<oatlever_fetch::Shared>(&place, Some(SocketAddr::from((self.host, 0))), left, 1 << 16)
+        match get::<oatlever_fetch::AsyncIo>(&place, Some(SocketAddr::from((self.host, 0))), left, 1 << 16)
             .await
         {
             Ok(answer) if answer.status == 200 => Some(true),
             Ok(answer) if answer.status == 503 => None,
-            Err(Failure::Connect(_)) => None,
+            Err(Error::Connect(_)) => None,
             _ => Some(false),
         }
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use oatlever::round::*;
-use oatlever_instance::{names, start, Node, Start};
+use oatlever_instance::{instance_settings, platform_settings, InstanceSettings, Node};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,8 +63,9 @@
 
 fn starts_and_keeps_the_rules(day: Day) -> bool {
     let node = Node::root(&day.settings);
-    let names = names(&node).expect("names");
-    let Start { site, classes, channel, rules } = start(&node).expect("settings that start");
+    let names = platform_settings(&node).expect("names");
+    let InstanceSettings { site, classes, channel, rules } =
+        instance_settings(&node).expect("settings that start");
     assert_eq!((names.zones.len(), names.classes.len()), (site.zones, classes.len()));
     let (zones, warm_within, most) = (site.zones as u16, rules.warm_within, channel.most_messages);
     let (cap, binds) = (channel.most_waiting, !rules.gone_does_not_bind);
@@ -187,12 +188,16 @@
         let mut wrong = right.clone();
         *wrong.pointer_mut(place).expect(place) = value;
         let node = Node::root(&wrong);
-        let said = names(&node).map(drop).and_then(|()| start(&node).map(drop)).expect_err(place).to_string();
+        let said = platform_settings(&node)
+            .map(drop)
+            .and_then(|()| instance_settings(&node).map(drop))
+            .expect_err(place)
+            .to_string();
         assert!(said.contains(wanted), "said `{said}`, wanted `{wanted}`");
     }
     let mut capped = right;
     capped["family-info"]["reloads-max"] = json!(12);
     capped["family-info"]["update-window-ms"] = json!(0);
-    let said = start(&Node::root(&capped)).expect_err("no span").to_string();
+    let said = instance_settings(&Node::root(&capped)).expect_err("no span").to_string();
     assert!(said.contains("`family-info.update-window-ms` is 0, not a number above 0"), "{said}");
 }
--- a/wirehost/src/host.rs
+++ b/wirehost/src/host.rs
@@ -77,7 +77,7 @@
     fn take(&mut self, batch: &Batch, at: View) -> Result<(), Malformed> {
         let (code, who) = (at.u16(0), at.u16(2));
         if code == 261 {
-            let start = oatlever_instance::read(batch.tail(at, 12, 1)?)?;
+            let start = oatlever_instance::parse(batch.tail(at, 12, 1)?)?;
             let balancer = Balancer::new(start.site, start.classes, start.channel, start.rules, at.u64(4));
             let seat = self.seats.entry(who).or_default();
             seat.balancer = Some(balancer);
--- a/xds/src/server.rs
+++ b/xds/src/server.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Response};
 use oatlever::round::Address;
-use oatlever_identity::{Keys, Peer};
+use oatlever_identity::{Peer, TlsKeys};
 use oatlever_tables::View;
 use smol_hyper::rt::FuturesIo;
 use std::cell::{Cell, RefCell};
@@ -82,7 +82,7 @@
     connections: Cell<usize>,
     changed: Rc<Event>,
     /// Connections are plain without.
-    keys: Option<RefCell<Keys>>,
+    keys: Option<RefCell<TlsKeys>>,
     pub counts: RefCell<Counts>,
 }
 
@@ -165,7 +165,7 @@
         limits: Limits,
         changed: Rc<Event>,
         epoch: u64,
-        keys: Option<Keys>,
+        keys: Option<TlsKeys>,
     ) -> Rc<Self> {
         Rc::new(Shared {
             desk,
@@ -281,7 +281,7 @@
     pub fn renew_keys(&self) {
         let Some(keys) = &self.keys else { return };
         let mut counts = self.counts.borrow_mut();
-        match keys.borrow_mut().refresh() {
+        match keys.borrow_mut().reload() {
             Ok(false) => {}
             Ok(true) => {
                 tracing::info!("new keys taken up");
@@ -309,7 +309,7 @@
             session: RefCell::new(Session::new(variant)),
             variant,
             since: self.desk.now(),
-            until: peer.map_or(f64::INFINITY, |peer| peer.until),
+            until: peer.map_or(f64::INFINITY, |peer| peer.expires_at),
             status: RefCell::default(),
             wake: Event::new(),
             told: Cell::new(0),
@@ -570,7 +570,7 @@
                     Err(status) => break status,
                 },
             };
-            if let Some(expired) = peer.as_ref().and_then(|peer| shared.expired(peer.until)) {
+            if let Some(expired) = peer.as_ref().and_then(|peer| shared.expired(peer.expires_at)) {
                 break expired;
             }
             let read = report.cluster_stats.iter().filter_map(load::read);
@@ -644,7 +644,7 @@
 /// Who is at the other end, once the handshake has found its certificate good.
 fn peer_of(connection: &ServerConnection) -> Result<Option<Rc<Peer>>, String> {
     let shown = connection.peer_certificates().and_then(|chain| chain.first());
-    shown.map(|certificate| Peer::read(certificate).map(Rc::new)).transpose()
+    shown.map(|certificate| Peer::from_der(certificate).map(Rc::new)).transpose()
 }
 
 async fn connection<D: Desk + 'static>(
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -6,7 +6,7 @@
 use futures_lite::{future, AsyncRead, AsyncWrite};
 use hyper::body::{Bytes, Incoming};
 use oatlever::round::{Address, Writer};
-use oatlever_identity::{Grants, Keys, Node as Known, Peer};
+use oatlever_identity::{Grants, Node as Known, Peer, TlsKeys};
 use oatlever_tables::{Kind as AskerKind, News, Pull, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
 use oatlever_xds::{call, methods, serve, Class, Desk, Limits, Load, Shared};
@@ -49,7 +49,7 @@
         let known = Known { name: node, zone: if asker.is_multiple_of(2) { "even" } else { "odd" } };
         self.0
             .grants
-            .admit(peer, known, zone, self.unix())
+            .authorize(peer, known, zone, self.unix())
             .map(|()| asker)
             .map_err(|denied| denied.to_string())
     }
@@ -130,7 +130,7 @@
 
 /// The same over TLS, with grants.
 pub fn play_with<F: Future<Output = ()>>(
-    keys: Option<Keys>,
+    keys: Option<TlsKeys>,
     grants: Grants,
     with: impl FnOnce(Rc<Play>) -> F,
 ) {
@@ -139,7 +139,7 @@
 
 fn play_for<F: Future<Output = ()>>(
     patience: f64,
-    keys: Option<Keys>,
+    keys: Option<TlsKeys>,
     grants: Grants,
     with: impl FnOnce(Rc<Play>) -> F,
 ) {
--- a/xds/tests/front/identities.rs
+++ b/xds/tests/front/identities.rs
@@ -7,7 +7,7 @@
 use futures_rustls::rustls::{crypto::ring, ClientConfig, RootCertStore};
 use futures_rustls::TlsConnector;
 use oatlever::round::Writer;
-use oatlever_identity::{Files, Grant, Grants, Keys, To};
+use oatlever_identity::{Grant, Grants, Scope, TlsFiles, TlsKeys};
 use oatlever_xds::grpc::{framed, Code};
 use oatlever_xds::methods;
 use rcgen::string::Ia5String;
@@ -62,9 +62,9 @@
         Folder(path)
     }
 
-    fn files(&self) -> Files {
+    fn files(&self) -> TlsFiles {
         let at = |name: &str| self.0.join(name);
-        Files { certificate: at("pilot.pem"), key: at("pilot.key"), authorities: Some(at("proxies.pem")) }
+        TlsFiles { certificate: at("pilot.pem"), key: at("pilot.key"), authorities: Some(at("proxies.pem")) }
     }
 
     fn write(&self, pilot: &Signed, proxies: &str) {
@@ -109,11 +109,11 @@
 }
 
 fn grants() -> Grants {
-    let grant = |identity: &str, to: To| Grant { identity: identity.into(), to };
+    let grant = |identity: &str, scope: Scope| Grant { identity: identity.into(), scope };
     Grants::new(&[
-        grant("spiffe://shops/even/*", To::Zone("even".into())),
-        grant("odd.shops.test", To::Zone("odd".into())),
-        grant("spiffe://shops/one", To::Node("relay-8".into())),
+        grant("spiffe://shops/even/*", Scope::Zone("even".into())),
+        grant("odd.shops.test", Scope::Zone("odd".into())),
+        grant("spiffe://shops/one", Scope::Node("relay-8".into())),
     ])
 }
 
@@ -122,7 +122,7 @@
 fn a_proxy_comes_only_as_what_its_certificate_grants() {
     let (folder, pilots, proxies) = (Folder::new("grants"), Authority::new(), Authority::new());
     folder.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    play_with(Some(Keys::load(folder.files()).unwrap()), grants(), |play| async move {
+    play_with(Some(TlsKeys::load(folder.files()).unwrap()), grants(), |play| async move {
         let even = proxies.sign("spiffe://shops/even/4", DAY);
         let odd = proxies.sign("odd.shops.test", DAY);
         let one = proxies.sign("spiffe://shops/one", DAY);
@@ -186,7 +186,7 @@
 fn keys_change_without_dropping_streams() {
     let (folder, pilots, proxies) = (Folder::new("renew"), Authority::new(), Authority::new());
     folder.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    play_with(Some(Keys::load(folder.files()).unwrap()), grants(), |play| async move {
+    play_with(Some(TlsKeys::load(folder.files()).unwrap()), grants(), |play| async move {
         let even = proxies.sign("spiffe://shops/even/4", DAY);
         let mut old = discover(&play, &pilots, Some(&even), "relay-4").await.unwrap();
         old.take(&["search"]).await;
@@ -218,7 +218,7 @@
 fn a_stream_ends_when_its_certificate_runs_out() {
     let (folder, pilots, proxies) = (Folder::new("expiry"), Authority::new(), Authority::new());
     folder.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    play_with(Some(Keys::load(folder.files()).unwrap()), grants(), |play| async move {
+    play_with(Some(TlsKeys::load(folder.files()).unwrap()), grants(), |play| async move {
         // Certificates count whole seconds.
         let even = proxies.sign("spiffe://shops/even/4", Duration::from_secs(3));
         let mut call = discover(&play, &pilots, Some(&even), "relay-4").await.unwrap();
