--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -12,7 +12,7 @@
 use oatlever_dns::Desk;
 use oatlever_handout::Answer;
 use oatlever_reports::{Counters, Owner, Sums, Target, Text};
-use oatlever_roster::{Book, Document, Moment, Taken};
+use oatlever_roster::{BootTime, Document, ServerList, Update};
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{Kind, News, Pull, Review, Tables, Unreviewed, View};
 use oatlever_xds::Load;
@@ -48,7 +48,7 @@
     pub planning: Option<Planning>,
     pub handing: Handing,
     pub presence: Presence,
-    pub book: Book,
+    pub book: ServerList,
     pub sums: Sums,
     counters: BTreeMap<Target, Counters>,
     owners: Vec<Owner>,
@@ -112,7 +112,7 @@
             planning: Planning::new(&settings),
             handing: Handing::new(&settings, seed, now),
             presence: Presence::new(&groups, settings.status.away_after),
-            book: Book::default(),
+            book: ServerList::default(),
             sums: Sums::new(settings.reports.period, names),
             counters: BTreeMap::new(),
             owners,
@@ -187,7 +187,7 @@
         for load in loads {
             self.sums.stated(owner, &load.cluster, load.came, load.span);
             for met in load.servers {
-                if self.book.known(&met.server).is_some() {
+                if self.book.get(&met.server).is_some() {
                     let figures = (met.answered, met.failed, met.seconds);
                     self.sums.stated_at(owner, met.server, figures, load.span);
                 }
@@ -203,7 +203,7 @@
 
     /// The list kept from the last run. Errors: it is none; the pilot starts without.
     pub fn restore(&mut self, text: &str, now: f64) -> Result<(), String> {
-        let list = self.book.restore(text, self.settings.zones.len(), now, Moment::now())?;
+        let list = self.book.restore(text, self.settings.zones.len(), now, BootTime::now())?;
         self.list("cached", list);
         Ok(())
     }
@@ -220,7 +220,7 @@
                 false
             }
             Ok((document, clock)) => {
-                let trouble = (!document.mistakes.is_empty()).then(|| document.mistakes.join("; "));
+                let trouble = (!document.errors.is_empty()).then(|| document.errors.join("; "));
                 if let Some(what) = trouble.as_ref().filter(|what| self.list_trouble.as_ref() != Some(*what))
                 {
                     tracing::warn!(%what, "list of servers read in part");
@@ -228,7 +228,7 @@
                 self.list_trouble = trouble;
                 self.list_heard = Some(now);
                 let before = self.book.members().len();
-                let Taken { list, changed } = self.book.take(&document, now, clock);
+                let Update { list, changed } = self.book.apply(&document, now, clock);
                 if changed {
                     tracing::info!(servers = list.entries.len(), before, "list of servers changed");
                 }
@@ -272,7 +272,7 @@
         match target {
             Target::Asker(asker) => {
                 let book = &self.book;
-                self.sums.proxy(self.owners[usize::from(asker)], &gain, |s| book.known(s).is_some());
+                self.sums.proxy(self.owners[usize::from(asker)], &gain, |s| book.get(s).is_some());
             }
             Target::Server(server) => {
                 let (owners, prefixes) = (&self.owners, &self.prefixes);
@@ -287,7 +287,7 @@
     pub fn read_only(&mut self, targets: &BTreeMap<Target, oatlever_fetch::HttpUrl>) {
         self.counters.retain(|target, _| targets.contains_key(target));
         let book = &self.book;
-        self.sums.in_flight.retain(|server, _| book.known(server).is_some());
+        self.sums.in_flight.retain(|server, _| book.get(server).is_some());
     }
 
     pub fn checked(&mut self, server: Address, fine: bool) {
--- a/pilot/src/guarding.rs
+++ b/pilot/src/guarding.rs
@@ -4,7 +4,7 @@
 use oatlever_guard::{
     Entry, Evidence, Finding, Guard, Holders, Lines, Listed, Mode, Outcome, State, Verdict,
 };
-use oatlever_roster::Book;
+use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use oatlever_tables::{Review, Tables};
 use serde_json::{json, Value};
@@ -41,13 +41,13 @@
     }
 
     /// Takes in what a round brought, and what the list says by now.
-    pub fn hear(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
+    pub fn hear(&mut self, round: &Round, book: &ServerList, tables: &Tables, settings: &Settings) {
         self.evidence.hear(&round.tries, &round.queries, &round.health, round.now);
         let named = tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let known: BTreeSet<Address> = book.members().keys().copied().chain(named).collect();
         self.evidence.keep_only(&known);
         let entry = |server: Address| {
-            let member = book.known(&server)?;
+            let member = book.get(&server)?;
             let listed = match book.members().get(&server).map(|member| member.readiness) {
                 Some(Readiness::Ready) => Listed::Ready,
                 Some(Readiness::Draining) => Listed::Draining,
--- a/pilot/src/handing.rs
+++ b/pilot/src/handing.rs
@@ -3,7 +3,7 @@
 use oatlever::round::{Address, Round};
 use oatlever_handout::{Answer, Handout, Lives, Who};
 use oatlever_reports::Sums;
-use oatlever_roster::Book;
+use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use oatlever_tables::Tables;
 use serde_json::{json, Value};
@@ -51,7 +51,7 @@
 
     /// After the decisions: what the tables give each cold server of the queries of those who ask for addresses.
     /// Proxies that are read or on streams weigh for themselves.
-    pub fn spare(&mut self, tables: &Tables, book: &Book, settings: &Settings, now: f64) {
+    pub fn spare(&mut self, tables: &Tables, book: &ServerList, settings: &Settings, now: f64) {
         if !self.keeps {
             return;
         }
@@ -85,7 +85,7 @@
     pub fn answer(
         &mut self,
         tables: &Tables,
-        book: &Book,
+        book: &ServerList,
         (asker, class, host): (u16, u16, Ipv4Addr),
         most: usize,
         settings: &Settings,
@@ -93,7 +93,7 @@
     ) -> Option<Answer> {
         let view = tables.held(asker, class)?;
         let who = Who { host, class, group: self.rate(asker, class as u8, settings) };
-        let zone = |server: &Address| book.known(server).map(|member| member.zone);
+        let zone = |server: &Address| book.get(server).map(|member| member.zone);
         let chance = &mut self.chance;
         let none = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
         Some(self.handout.answer(&view, who, most, zone, now, || chance.f64()).unwrap_or_else(none))
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -2,7 +2,7 @@
 
 use oatlever::round::{Plan, Readiness, Round};
 use oatlever_cost::{Decided, Planner, Without, Zone};
-use oatlever_roster::Book;
+use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     pub fn plan(
         &mut self,
         round: &Round,
-        book: &Book,
+        book: &ServerList,
         zone_of: impl Fn(u16) -> u16,
         settings: &Settings,
     ) -> Option<Plan> {
@@ -58,7 +58,7 @@
                 zone.weight += member.weight * part;
             }
         }
-        let zone_of_server = |server: &_| book.known(server).map(|member| usize::from(member.zone));
+        let zone_of_server = |server: &_| book.get(server).map(|member| usize::from(member.zone));
         self.planner.hear(&round.queries, &round.tries, zone_of_server, &zones, now);
         let plan = self.planner.plan(|asker| usize::from(zone_of(asker)), &zones, now);
         let (word, before) = (word(&plan), self.last.as_ref().map(|(_, last)| self::word(last)));
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -7,7 +7,7 @@
 use oatlever_instance::InstanceSettings;
 use oatlever_platform::message::{self, Join, Message, Wrong, ALIVE};
 use oatlever_platform::{patience, Connection, Joining, Names, Publisher, Role, Sessions};
-use oatlever_roster::platform::{Origin, PlatformDocument, Register};
+use oatlever_roster::platform::{Origin, PlatformDocument, ServerRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -69,7 +69,7 @@
     names: Names,
     sessions: Sessions,
     publisher: Publisher,
-    pub register: Register,
+    pub register: ServerRegistry,
     round: Round,
     timers: Timers,
     /// Servers whose health is being checked, and the process that is asked.
@@ -94,7 +94,7 @@
             balancer: Balancer::new(start.site, start.classes, start.channel, start.rules, seed),
             names,
             sessions: Sessions::default(),
-            register: Register::default(),
+            register: ServerRegistry::default(),
             round: Round::default(),
             timers: Timers::default(),
             checking: BTreeMap::new(),
@@ -178,7 +178,7 @@
 
     fn report(&mut self, message: Message, connection: Connection, role: Role, line: &[u8]) -> Reaction {
         match (message, role) {
-            (Message::Met(met), Role::Collector(_)) => match self.register.number(&met.server) {
+            (Message::Met(met), Role::Collector(_)) => match self.register.address(&met.server) {
                 None => self.counts.strange += 1,
                 Some(server) => {
                     self.counts.tries += met.tries;
@@ -222,9 +222,9 @@
 
     /// A list of servers, or news of it. Errors: it is older than what is held, or nothing in it can be used.
     pub fn list(&mut self, document: &PlatformDocument, origin: Origin) -> Result<(), String> {
-        let list = self.register.take(document, origin)?;
-        if !document.mistakes.is_empty() {
-            tracing::warn!(mistakes = document.mistakes.join("; "), "list of servers read in part");
+        let list = self.register.apply(document, origin)?;
+        if !document.errors.is_empty() {
+            tracing::warn!(mistakes = document.errors.join("; "), "list of servers read in part");
         }
         self.counts.lists += 1;
         // A watch that ended without news says nothing that a round should take up.
--- a/pilot/src/platform/lists.rs
+++ b/pilot/src/platform/lists.rs
@@ -3,7 +3,7 @@
 use super::Pilot;
 use futures_lite::future;
 use oatlever_reactor::Timer;
-use oatlever_roster::platform::{Missed, Origin, PlatformDocument, Watch};
+use oatlever_roster::platform::{Origin, PlatformDocument, Watch, WatchError};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
         let (mut controller, now) = (pilot.controller.borrow_mut(), pilot.clock.now());
         let older = controller.register.is_older(document);
         let since = *self.older_since.get_or_insert(now);
-        let anew = older && document.whole && now - since > LAGS;
+        let anew = older && document.full && now - since > LAGS;
         if !older || anew {
             self.older_since = None;
         }
@@ -52,14 +52,14 @@
                 "versions start anew"
             );
         }
-        controller.list(document, if anew { Origin::Anew } else { Origin::Told })
+        controller.list(document, if anew { Origin::VersionReset } else { Origin::Update })
     }
 
     /// Goes on after an answer; tells whether it was of use, and how long to wait before the next call.
-    fn after(&mut self, answer: Result<PlatformDocument, Missed>, pilot: &Pilot) -> (bool, f64) {
+    fn after(&mut self, answer: Result<PlatformDocument, WatchError>, pilot: &Pilot) -> (bool, f64) {
         let taken = answer.and_then(|document| match self.take(&document, pilot) {
             Ok(()) => Ok(document),
-            Err(what) => Err(Missed { what, answered: true }),
+            Err(what) => Err(WatchError { message: what, answered: true }),
         });
         match taken {
             Ok(document) => {
@@ -69,13 +69,13 @@
                 // Guards against a change that is lost because its entry could not be used and the version
                 // has moved on: all is read anew. What is wrong with it then too is not the way's fault, and
                 // is left.
-                let known = document.whole && document.mistakes == self.mistakes;
-                self.whole = !document.mistakes.is_empty() && !known;
-                self.mistakes = document.mistakes;
+                let known = document.full && document.errors == self.mistakes;
+                self.whole = !document.errors.is_empty() && !known;
+                self.mistakes = document.errors;
                 self.pause_failed = PAUSE_FAILED;
                 (true, if self.whole { PAUSE_FAILED } else { PAUSE })
             }
-            Err(Missed { what, answered }) => {
+            Err(WatchError { message: what, answered }) => {
                 // Guards against asking for ever for what is newer than a version of which the source knows
                 // nothing, or which it tells changes to that are of no use: all of the list says more.
                 self.whole |= answered;
@@ -110,7 +110,7 @@
             continue;
         }
         let after = pilot.controller.borrow().register.version.filter(|_| !course.whole);
-        let asked = async { Some(watch.ask(pilot.discovery.get(), after, &zones, (WAIT, PATIENCE)).await) };
+        let asked = async { Some(watch.poll(pilot.discovery.get(), after, &zones, (WAIT, PATIENCE)).await) };
         let told_anew = async {
             told.await;
             None
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -13,7 +13,7 @@
 use oatlever_fetch as fetch;
 use oatlever_identity::{Grant, Grants, Node, Peer, Scope, TlsFiles, TlsKeys};
 use oatlever_reports::{Target, Text};
-use oatlever_roster::{Cache, Moment, Source};
+use oatlever_roster::{BootTime, Cache, Source};
 use oatlever_settings::{Settings, Tls, Xds};
 use oatlever_tables::View;
 use oatlever_xds::orca::{self, Gauges};
@@ -140,7 +140,7 @@
 
     fn zone_of(&self, server: &Address) -> Option<String> {
         let core = self.pilot.core.borrow();
-        let zone = core.book.known(server)?.zone;
+        let zone = core.book.get(server)?.zone;
         core.settings.zones.get(usize::from(zone)).cloned()
     }
 
@@ -178,7 +178,7 @@
         let named = core.tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
-            let host = SocketAddr::V4(core.book.known(&server)?.metrics?);
+            let host = SocketAddr::V4(core.book.get(&server)?.metrics?);
             Some((Target::Server(server), fetch::HttpUrl { host, path: "/metrics".to_string() }))
         });
         let targets = askers.chain(servers).collect();
@@ -397,7 +397,7 @@
                 let worth = core.roster(read, now);
                 if let Some(cache) = cache.as_ref().filter(|_| worth) {
                     // A list that can't be kept is a trouble of the next start only.
-                    if let Err(e) = cache.save(&core.book.keep(now, Moment::now())) {
+                    if let Err(e) = cache.save(&core.book.save(now, BootTime::now())) {
                         tracing::warn!(path = %cache.0.display(), %e, "list of servers not kept");
                     }
                 }
@@ -414,7 +414,7 @@
         tasks.push(executor.spawn(gauges));
         let times = (roster.period, roster.patience);
         let zones = settings.zones.clone();
-        tasks.push(executor.spawn(oatlever_roster::run(source, zones, times, roster.most_bytes, sink)));
+        tasks.push(executor.spawn(oatlever_roster::poll(source, zones, times, roster.most_bytes, sink)));
         let reports = settings.reports.clone();
         let desk = ReportDesk(pilot.clone());
         tasks.push(executor.spawn(async move {
--- a/roster/src/document.rs
+++ b/roster/src/document.rs
@@ -17,7 +17,7 @@
 
 /// A server as a document names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     pub server: Address,
     pub zone: u16,
     pub kind: String,
@@ -31,23 +31,23 @@
 
 /// How much of a document could be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Readable {
-    Whole,
+pub enum Completeness {
+    Full,
     /// These servers are named, with labels that make no sense: they are to stay what they were.
-    ButFor(BTreeSet<Address>),
+    Except(BTreeSet<Address>),
     /// Some targets can't even be told: nobody may be dropped by this document.
-    InPart,
+    Partial,
 }
 
 #[derive(Clone, Debug)]
 pub struct Document {
-    pub servers: Vec<Listed>,
-    pub readable: Readable,
+    pub servers: Vec<ServerEntry>,
+    pub completeness: Completeness,
     /// What is wrong and where, in words.
-    pub mistakes: Vec<String>,
+    pub errors: Vec<String>,
 }
 
-fn entry(group: &Group, server: Address, zones: &[String]) -> Result<Listed, String> {
+fn entry(group: &Group, server: Address, zones: &[String]) -> Result<ServerEntry, String> {
     let label = |name: &str| group.labels.get(name).map(String::as_str);
     let number = |name: &str| match label(name) {
         None => Ok(None),
@@ -71,7 +71,7 @@
             Err(_) => Err(format!("label {name} is {text:?}, not address:port")),
         },
     };
-    Ok(Listed {
+    Ok(ServerEntry {
         server,
         zone: place.ok_or_else(|| format!("label zone is {zone:?}, not a zone of the settings"))? as u16,
         kind: label("kind").unwrap_or("").to_string(),
@@ -85,27 +85,27 @@
 
 impl Document {
     /// Reads a document. Errors: it is none, or was cut off.
-    pub fn read(bytes: &[u8], zones: &[String]) -> Result<Document, String> {
+    pub fn parse(bytes: &[u8], zones: &[String]) -> Result<Document, String> {
         let groups: Vec<Group> = serde_json::from_slice(bytes).map_err(|e| format!("not a list: {e}"))?;
-        let mut found: BTreeMap<Address, Listed> = BTreeMap::new();
-        let (mut odd, mut lost, mut mistakes) = (BTreeSet::new(), false, Vec::new());
+        let mut found: BTreeMap<Address, ServerEntry> = BTreeMap::new();
+        let (mut odd, mut lost, mut errors) = (BTreeSet::new(), false, Vec::new());
         for (n, group) in groups.iter().enumerate() {
             for (k, target) in group.targets.iter().enumerate() {
                 let at = format!("/{n}/targets/{k}");
                 let Ok(host) = target.parse::<SocketAddrV4>() else {
-                    mistakes.push(format!("{at}: {target:?} is not an IPv4 address:port"));
+                    errors.push(format!("{at}: {target:?} is not an IPv4 address:port"));
                     lost = true;
                     continue;
                 };
                 let server = Address { host: host.ip().octets(), port: host.port() };
                 match entry(group, server, zones) {
                     Err(what) => {
-                        mistakes.push(format!("{at}: {target}: {what}"));
+                        errors.push(format!("{at}: {target}: {what}"));
                         odd.insert(server);
                     }
                     Ok(listed) => match found.get(&server) {
                         Some(other) if *other != listed => {
-                            mistakes.push(format!("{at}: {target} is listed twice, differently"));
+                            errors.push(format!("{at}: {target} is listed twice, differently"));
                             odd.insert(server);
                         }
                         _ => drop(found.insert(server, listed)),
@@ -114,11 +114,11 @@
             }
         }
         found.retain(|server, _| !odd.contains(server));
-        let readable = match () {
-            () if lost => Readable::InPart,
-            () if !odd.is_empty() => Readable::ButFor(odd),
-            () => Readable::Whole,
+        let completeness = match () {
+            () if lost => Completeness::Partial,
+            () if !odd.is_empty() => Completeness::Except(odd),
+            () => Completeness::Full,
         };
-        Ok(Document { servers: found.into_values().collect(), readable, mistakes })
+        Ok(Document { servers: found.into_values().collect(), completeness, errors })
     }
 }
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -4,11 +4,11 @@
 //! `reader` fetches them and keeps the last good list in a file. `platform` is the other list: that of the
 //! operators' platform, which is watched.
 
-mod book;
 mod document;
 pub mod platform;
 mod reader;
+mod server_list;
 
-pub use book::{Book, Member, Moment, Taken};
-pub use document::{Document, Listed, Readable};
-pub use reader::{run, Cache, Source};
+pub use document::{Completeness, Document, ServerEntry};
+pub use reader::{poll, Cache, Source};
+pub use server_list::{BootTime, Member, ServerList, Update};
--- a/roster/src/platform.rs
+++ b/roster/src/platform.rs
@@ -1,7 +1,7 @@
 //! The list of the operators' platform: documents, who is listed under which name, and its watch.
 //!
 //! Servers have names there that stay the same for all pilots, and an address that is this pilot's alone.
-//! The decisions know servers by short numbers in the form of an address, which [`Register`] gives out.
+//! The decisions know servers by short numbers in the form of an address, which [`ServerRegistry`] gives out.
 
 use oatlever::round::{Address, Entry, List, ListNews, Readiness};
 use oatlever_fetch::{self as fetch, SingleThreaded};
@@ -23,7 +23,7 @@
 
 /// One server of a document.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PlatformServer {
+pub struct ListedServer {
     pub name: String,
     pub host: SocketAddr,
     pub zone: u16,
@@ -38,12 +38,12 @@
 #[derive(Clone, Debug)]
 pub struct PlatformDocument {
     pub version: u64,
-    pub whole: bool,
-    pub servers: Vec<PlatformServer>,
+    pub full: bool,
+    pub servers: Vec<ListedServer>,
     /// What could not be used, by its place.
-    pub mistakes: Vec<String>,
+    pub errors: Vec<String>,
     /// Servers that those entries name, where they do.
-    pub unread: Vec<String>,
+    pub unreadable: Vec<String>,
 }
 
 #[derive(Deserialize)]
@@ -67,7 +67,7 @@
     started_ms: f64,
 }
 
-fn server(value: &Value, zones: &[String]) -> Result<PlatformServer, String> {
+fn server(value: &Value, zones: &[String]) -> Result<ListedServer, String> {
     let wire = WireServer::deserialize(value).map_err(|e| e.to_string())?;
     let readiness = match wire.state.as_str() {
         "up" => Readiness::Ready,
@@ -84,14 +84,14 @@
     if weight < 0.0 || started < 0.0 {
         return Err("a weight or a start below 0".to_string());
     }
-    Ok(PlatformServer { name: wire.id, host: wire.addr, zone, kind: wire.kind, readiness, weight, started })
+    Ok(ListedServer { name: wire.id, host: wire.addr, zone, kind: wire.kind, readiness, weight, started })
 }
 
 impl PlatformDocument {
     /// A list of nothing that is older than any other.
     pub fn empty() -> Self {
-        let (servers, mistakes, unread) = (Vec::new(), Vec::new(), Vec::new());
-        PlatformDocument { version: 0, whole: true, servers, mistakes, unread }
+        let (servers, errors, unreadable) = (Vec::new(), Vec::new(), Vec::new());
+        PlatformDocument { version: 0, full: true, servers, errors, unreadable }
     }
 
     /// Reads a document. Errors: it is none. Servers that can't be used are left out and told.
@@ -107,17 +107,17 @@
     }
 
     fn of(wire: Wire, zones: &[String]) -> Self {
-        let (mut servers, mut mistakes, mut unread) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut servers, mut errors, mut unreadable) = (Vec::new(), Vec::new(), Vec::new());
         for (n, value) in wire.servers.iter().enumerate() {
             match server(value, zones) {
                 Ok(server) => servers.push(server),
                 Err(what) => {
-                    mistakes.push(format!("/servers/{n}: {what}"));
-                    unread.extend(value["id"].as_str().map(str::to_string));
+                    errors.push(format!("/servers/{n}: {what}"));
+                    unreadable.extend(value["id"].as_str().map(str::to_string));
                 }
             }
         }
-        PlatformDocument { version: wire.version, whole: wire.full, servers, mistakes, unread }
+        PlatformDocument { version: wire.version, full: wire.full, servers, errors, unreadable }
     }
 }
 
@@ -134,14 +134,14 @@
 pub enum Origin {
     /// The list that a pilot starts with.
     Cached,
-    Told,
+    Update,
     /// Told by a source whose versions have started anew, so that they compare with none that are held.
-    Anew,
+    VersionReset,
 }
 
 /// Which server is which: names of the platform, numbers of the decisions.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct ServerRegistry {
     numbers: HashMap<Rc<str>, Address>,
     known: BTreeMap<Address, Known>,
     listed: BTreeMap<Address, bool>,
@@ -153,7 +153,7 @@
     pub version: Option<u64>,
 }
 
-impl Register {
+impl ServerRegistry {
     /// Takes in a document and tells what it means to the decisions. Errors: it is older than what is held,
     /// or nothing in it can be used; what is held stays.
     ///
@@ -163,16 +163,17 @@
     /// In a whole list, a server whose entry can't be used stays as it was told last, and one that is not
     /// there is gone. Guards against one odd entry that keeps all removed servers listed, or that drops the
     /// server it speaks of.
-    pub fn take(&mut self, document: &PlatformDocument, origin: Origin) -> Result<List, String> {
-        if let Some(held) = self.version.filter(|_| self.is_older(document) && origin != Origin::Anew) {
+    pub fn apply(&mut self, document: &PlatformDocument, origin: Origin) -> Result<List, String> {
+        if let Some(held) = self.version.filter(|_| self.is_older(document) && origin != Origin::VersionReset)
+        {
             return Err(format!("version {} is older than {held}, which is held", document.version));
         }
-        if let Some(first) = document.mistakes.first().filter(|_| document.servers.is_empty()) {
+        if let Some(first) = document.errors.first().filter(|_| document.servers.is_empty()) {
             return Err(format!("version {}: nothing in it can be used: {first}", document.version));
         }
-        let whole = document.whole;
+        let whole = document.full;
         let mut servers = document.servers.clone();
-        if origin == Origin::Anew {
+        if origin == Origin::VersionReset {
             servers.iter_mut().for_each(|server| server.readiness = self.readiness_anew(server));
         }
         let mut entries = Vec::new();
@@ -180,8 +181,8 @@
             for (_, listed) in self.listed.iter_mut() {
                 *listed = false;
             }
-            for name in &document.unread {
-                let Some(number) = self.number(name) else { continue };
+            for name in &document.unreadable {
+                let Some(number) = self.address(name) else { continue };
                 if let Some(listed) = self.listed.get_mut(&number) {
                     *listed = true;
                     entries.extend(self.known.get(&number).map(|known| known.entry.clone()));
@@ -211,8 +212,8 @@
 
     /// What a list of another count of versions says of a server, which may be older than what is held: one
     /// that drained or went opens again only where it has restarted since.
-    fn readiness_anew(&self, server: &PlatformServer) -> Readiness {
-        let number = self.number(&server.name);
+    fn readiness_anew(&self, server: &ListedServer) -> Readiness {
+        let number = self.address(&server.name);
         let held = number.and_then(|number| Some((number, &self.known.get(&number)?.entry)));
         match held {
             Some((number, entry))
@@ -228,7 +229,7 @@
         }
     }
 
-    fn entry(&mut self, server: &PlatformServer) -> Entry {
+    fn entry(&mut self, server: &ListedServer) -> Entry {
         let name: Rc<str> = server.name.as_str().into();
         let next = &mut self.next;
         let number = *self.numbers.entry(name.clone()).or_insert_with(|| {
@@ -260,7 +261,7 @@
     }
 
     /// The number of a server by its name; none where no list has named it lately.
-    pub fn number(&self, name: &str) -> Option<Address> {
+    pub fn address(&self, name: &str) -> Option<Address> {
         self.numbers.get(name).copied()
     }
 
@@ -282,8 +283,8 @@
 
 /// Why an answer is of no use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Missed {
-    pub what: String,
+pub struct WatchError {
+    pub message: String,
     /// The source has answered, but not what was asked for.
     pub answered: bool,
 }
@@ -298,13 +299,13 @@
     /// Asks for all of the list, or, after a version, for what is newer, waiting up to `wait` seconds for
     /// something to tell. May be given up on under way. Errors: no answer within `patience` seconds more, or
     /// one that is no list.
-    pub async fn ask(
+    pub async fn poll(
         &mut self,
         host: SocketAddr,
         after: Option<u64>,
         zones: &[String],
         (wait, patience): (f64, f64),
-    ) -> Result<PlatformDocument, Missed> {
+    ) -> Result<PlatformDocument, WatchError> {
         let (path, wait) = match after {
             None => (PATH.to_string(), 0.0),
             Some(version) => (format!("{PATH}?index={version}&wait={}", (wait * 1000.0) as u64), wait),
@@ -329,13 +330,14 @@
             Ok((fresh, answer))
         };
         let got = fetch::with_timeout::<SingleThreaded, _>(wait + patience, asked).await;
-        let missed = |answered: bool, what: String| Missed { what: format!("{host}: {what}"), answered };
+        let missed =
+            |answered: bool, what: String| WatchError { message: format!("{host}: {what}"), answered };
         let (kept, answer) = got.map_err(|e| missed(false, e.to_string()))?;
         if answer.status != 200 {
             return Err(missed(true, format!("status {}", answer.status)));
         }
         let document = PlatformDocument::read(&answer.body, zones).map_err(|e| missed(true, e))?;
-        if after.is_none() && !document.whole {
+        if after.is_none() && !document.full {
             return Err(missed(true, "changes where the whole list was asked for".to_string()));
         }
         self.kept = Some(kept);
--- a/roster/src/reader.rs
+++ b/roster/src/reader.rs
@@ -1,7 +1,7 @@
 //! Fetches documents, once a period, and keeps the last good list.
 
-use crate::book::Moment;
 use crate::document::Document;
+use crate::server_list::BootTime;
 use oatlever_fetch as fetch;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -53,13 +53,13 @@
 #[derive(Clone, Debug)]
 pub struct Cache(pub PathBuf);
 
-impl Moment {
+impl BootTime {
     /// Now; none where the system does not tell.
-    pub fn now() -> Option<Moment> {
+    pub fn now() -> Option<BootTime> {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
         let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         let seconds = time.tv_sec as f64 + time.tv_nsec as f64 / 1e9;
-        Some(Moment { boot: boot.trim().to_string(), seconds })
+        Some(BootTime { boot: boot.trim().to_string(), seconds })
     }
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// Reads the source once a period for ever and hands on each document, or why there is none.
-pub async fn run(
+pub async fn poll(
     source: Source,
     zones: Vec<String>,
     (period, patience): (f64, f64),
@@ -92,7 +92,7 @@
         let begun = Instant::now();
         let read = source.read(patience, most_bytes).await;
         sink(
-            read.and_then(|(bytes, clock)| Document::read(&bytes, &zones).map(|document| (document, clock))),
+            read.and_then(|(bytes, clock)| Document::parse(&bytes, &zones).map(|document| (document, clock))),
         );
         async_io::Timer::at(begun + Duration::from_secs_f64(period)).await;
     }
--- a/roster/src/book.rs
+++ b/roster/src/server_list.rs
@@ -4,7 +4,7 @@
 //! start is placed once, by its age on the clock of whoever wrote the document, and kept as long as its
 //! label stays the same.
 
-use crate::document::{Document, Listed, Readable};
+use crate::document::{Completeness, Document, ServerEntry};
 use oatlever::round::{Address, Entry, List, ListNews, Readiness};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
 
 /// What a document means.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct Update {
     pub list: List,
     /// It says something else than was known.
     pub changed: bool,
@@ -46,21 +46,21 @@
 /// A moment that outlives the process: seconds since this machine's boot, and which boot it was. No step
 /// of the wall's clock moves it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Moment {
+pub struct BootTime {
     pub boot: String,
     pub seconds: f64,
 }
 
 /// The list as it is kept for the next start.
 #[derive(Serialize, Deserialize)]
-struct Shelf {
-    kept_at: Option<Moment>,
-    servers: Vec<Kept>,
+struct SavedList {
+    kept_at: Option<BootTime>,
+    servers: Vec<SavedServer>,
 }
 
 /// A member as it is kept: its age instead of a time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Kept {
+struct SavedServer {
     server: String,
     zone: u16,
     kind: u8,
@@ -78,7 +78,7 @@
 const DROPPED: usize = 20_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct ServerList {
     members: BTreeMap<Address, Member>,
     /// Those that the list does not name any more.
     ///
@@ -88,10 +88,10 @@
     kinds: Vec<String>,
 }
 
-impl Book {
+impl ServerList {
     /// Takes in a document and tells what it means. `clock` is the writer's Unix time, s, as it sent the
     /// document; `now` the pilot's. A document that could not be read whole drops nobody.
-    pub fn take(&mut self, document: &Document, now: f64, clock: Option<f64>) -> Taken {
+    pub fn apply(&mut self, document: &Document, now: f64, clock: Option<f64>) -> Update {
         let (mut changed, before) = (false, self.members.len());
         for listed in &document.servers {
             let started = self.start_of(listed, now, clock);
@@ -101,7 +101,7 @@
                 kind,
                 readiness: listed.readiness,
                 weight: listed.weight,
-                label: listed.started.or_else(|| self.known(&listed.server).and_then(|m| m.label)),
+                label: listed.started.or_else(|| self.get(&listed.server).and_then(|m| m.label)),
                 started,
                 metrics: listed.metrics,
                 orca: listed.orca,
@@ -113,25 +113,26 @@
         }
         let with_new = self.members.len();
         let named = |server: &Address| document.servers.binary_search_by(|l| l.server.cmp(server)).is_ok();
-        let stays = |server: &Address| match &document.readable {
-            Readable::InPart => true,
-            Readable::Whole => named(server),
-            Readable::ButFor(odd) => named(server) || odd.contains(server),
+        let stays = |server: &Address| match &document.completeness {
+            Completeness::Partial => true,
+            Completeness::Full => named(server),
+            Completeness::Except(odd) => named(server) || odd.contains(server),
         };
         self.dropped.extend(self.members.extract_if(.., |server, _| !stays(server)));
         while self.dropped.len() > DROPPED {
             let oldest = self.dropped.iter().min_by(|a, b| a.1.seen.total_cmp(&b.1.seen)).map(|(s, _)| *s);
             oldest.map(|server| self.dropped.remove(&server));
         }
-        let news = if document.readable == Readable::InPart { ListNews::Changes } else { ListNews::Full };
+        let news =
+            if document.completeness == Completeness::Partial { ListNews::Changes } else { ListNews::Full };
         changed |= self.members.len() != with_new || with_new != before;
-        Taken { list: List { news, entries: self.entries() }, changed }
+        Update { list: List { news, entries: self.entries() }, changed }
     }
 
     /// A start that was told for the first time is placed by its age; one that changed lies between the
     /// last list that told the old one and now. Without a clock to go by, what is new is as cold as can be.
-    fn start_of(&self, listed: &Listed, now: f64, clock: Option<f64>) -> f64 {
-        let known = self.known(&listed.server);
+    fn start_of(&self, listed: &ServerEntry, now: f64, clock: Option<f64>) -> f64 {
+        let known = self.get(&listed.server);
         let Some(label) = listed.started else { return known.map_or(0.0, |m| m.started) };
         if let Some(same) = known.filter(|m| m.label == Some(label)) {
             return same.started;
@@ -165,7 +166,7 @@
     }
 
     /// A server that some list has named, whether or not the last one did.
-    pub fn known(&self, server: &Address) -> Option<&Member> {
+    pub fn get(&self, server: &Address) -> Option<&Member> {
         self.members.get(server).or_else(|| self.dropped.get(server))
     }
 
@@ -174,8 +175,8 @@
     }
 
     /// The list as text for the next start, and when it was kept, where that can be told.
-    pub fn keep(&self, now: f64, kept_at: Option<Moment>) -> String {
-        let kept = |(server, m): (&Address, &Member)| Kept {
+    pub fn save(&self, now: f64, kept_at: Option<BootTime>) -> String {
+        let kept = |(server, m): (&Address, &Member)| SavedServer {
             server: server.to_string(),
             zone: m.zone,
             kind: m.kind,
@@ -187,8 +188,8 @@
             orca: m.orca,
         };
         let open = self.members.iter().filter(|(_, m)| m.readiness != Readiness::Gone);
-        let shelf = Shelf { kept_at, servers: open.map(kept).collect() };
-        serde_json::to_string(&shelf).unwrap_or_default()
+        let saved = SavedList { kept_at, servers: open.map(kept).collect() };
+        serde_json::to_string(&saved).unwrap_or_default()
     }
 
     /// Starts from a kept list. Servers have aged by the time since; where that is not known, as after a
@@ -198,13 +199,13 @@
         text: &str,
         zones: usize,
         now: f64,
-        moment: Option<Moment>,
+        moment: Option<BootTime>,
     ) -> Result<List, String> {
-        let shelf: Shelf = serde_json::from_str(text).map_err(|e| format!("not a kept list: {e}"))?;
-        let since = shelf.kept_at.zip(moment).filter(|(kept, now)| kept.boot == now.boot);
+        let saved: SavedList = serde_json::from_str(text).map_err(|e| format!("not a kept list: {e}"))?;
+        let since = saved.kept_at.zip(moment).filter(|(kept, now)| kept.boot == now.boot);
         let away = since.map_or(0.0, |(kept, now)| (now.seconds - kept.seconds).max(0.0));
         let mut members = BTreeMap::new();
-        for k in shelf.servers {
+        for k in saved.servers {
             let host: SocketAddrV4 = k.server.parse().map_err(|_| format!("{:?} is no server", k.server))?;
             if usize::from(k.zone) >= zones {
                 return Err(format!("{} is in zone {}, of {zones}", k.server, k.zone));
