--- a/pilot/src/platform/connections.rs
+++ b/pilot/src/platform/connections.rs
@@ -5,9 +5,9 @@
 use async_executor::LocalExecutor;
 use event_listener::Event;
 use futures_lite::future;
-use oatlever_platform::frame::{LONGEST, LONGEST_FIRST};
-use oatlever_platform::message::REFUSED;
-use oatlever_platform::{Connection, Lines};
+use oatlever_platform::frame::{MAX_JOIN_BYTES, MAX_MESSAGE_BYTES};
+use oatlever_platform::message::REJECT;
+use oatlever_platform::{Connection, LineBuffer};
 use oatlever_reactor::{Async, Timer};
 use rustix::io::Errno;
 use std::cell::{Cell, RefCell};
@@ -37,7 +37,7 @@
     number: Connection,
     stream: Async<TcpStream>,
     /// What it has sent of a message that has not ended.
-    begun: RefCell<Lines>,
+    begun: RefCell<LineBuffer>,
     waiting: RefCell<VecDeque<Rc<[u8]>>>,
     /// Bytes of the first of those that are written.
     written: Cell<usize>,
@@ -168,7 +168,7 @@
         self.open.borrow_mut().remove(&peer.number);
         self.unjoined.borrow_mut().remove(&peer.number);
         let begun = peer.begun.take();
-        self.unfinished.set(self.unfinished.get() - begun.kept());
+        self.unfinished.set(self.unfinished.get() - begun.buffered());
         peer.held.set(0);
         peer.drained.notify(usize::MAX);
     }
@@ -184,7 +184,7 @@
     /// may be longer by far than any that is sent in earnest.
     fn longest(&self, kept: usize) -> usize {
         let left = self.most_unfinished.saturating_sub(self.unfinished.get() - kept);
-        LONGEST.min(left).max(LONGEST_FIRST)
+        MAX_MESSAGE_BYTES.min(left).max(MAX_JOIN_BYTES)
     }
 }
 
@@ -229,7 +229,7 @@
                     executor.spawn(serve(peer, pilot.clone())).detach();
                 } else {
                     pilot.controller.borrow_mut().counts.full += 1;
-                    drop(stream.get_ref().write(REFUSED));
+                    drop(stream.get_ref().write(REJECT));
                 }
                 // Guards against a fleet that dials at once: those accepted are read, and those sent away
                 // give their descriptors back, before the next one is taken.
@@ -312,7 +312,7 @@
     // Guards against a byte for a collector that is sent away or replaced, which has no use for any.
     if !joined && flushed && !matches!(end, End::Theirs) {
         // Where it can't be written at once, the end of the connection says the same.
-        drop(peer.stream.get_ref().write(REFUSED));
+        drop(peer.stream.get_ref().write(REJECT));
     }
     pilot.connections.leave(&peer);
     pilot.controller.borrow_mut().ended(peer.number);
@@ -359,10 +359,10 @@
 fn take(peer: &Peer, bytes: &[u8], pilot: &Pilot) -> bool {
     let (now, mut good) = (pilot.clock.now(), true);
     let mut begun = peer.begun.borrow_mut();
-    let kept = begun.kept();
+    let kept = begun.buffered();
     let most = pilot.connections.longest(kept);
-    let longest = || if peer.joined.get() { most } else { LONGEST_FIRST };
-    let cut = begun.cut(bytes, longest, |line| {
+    let longest = || if peer.joined.get() { most } else { MAX_JOIN_BYTES };
+    let cut = begun.split(bytes, longest, |line| {
         let reaction = pilot.controller.borrow_mut().line(peer.number, line, now);
         match reaction {
             Reaction::Nothing => {}
@@ -386,7 +386,7 @@
         good
     });
     let unfinished = &pilot.connections.unfinished;
-    unfinished.set(unfinished.get() - kept + begun.kept());
+    unfinished.set(unfinished.get() - kept + begun.buffered());
     pilot.tell();
     good && cut.is_ok()
 }
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -5,8 +5,8 @@
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, Beliefs, HealthAnswer, List, ListNews, Round, Stream, Tries};
 use oatlever_instance::InstanceSettings;
-use oatlever_platform::message::{self, Join, Message, Wrong, ALIVE};
-use oatlever_platform::{patience, Connection, Joining, Names, Publisher, Role, Sessions};
+use oatlever_platform::message::{self, Join, Message, MessageError, HEARTBEAT_ANSWER};
+use oatlever_platform::{silence_timeout, Connection, JoinOutcome, Names, Publisher, Role, Sessions};
 use oatlever_roster::platform::{Origin, PlatformDocument, ServerRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
             proxies: start.site.proxies as usize,
         };
         Controller {
-            patience: patience(start.site.report_period, start.channel.longest_way),
+            patience: silence_timeout(start.site.report_period, start.channel.longest_way),
             publisher: Publisher::new(names.classes.clone()),
             balancer: Balancer::new(start.site, start.classes, start.channel, start.rules, seed),
             names,
@@ -107,7 +107,7 @@
     /// when this was asked last.
     pub fn idles(&self, turned_away: u64) -> Option<&'static str> {
         let joined = self.sessions.proxies().next().is_some();
-        if self.publisher.serves() || !(joined || self.turned_away() > turned_away) {
+        if self.publisher.has_bound_proxies() || !(joined || self.turned_away() > turned_away) {
             return None;
         }
         Some(match self.register.sizes() {
@@ -119,7 +119,7 @@
     }
 
     pub fn serves(&self) -> bool {
-        self.publisher.serves()
+        self.publisher.has_bound_proxies()
     }
 
     /// Connections sent away so far.
@@ -130,20 +130,20 @@
     /// Takes in a line that came on a connection.
     pub fn line(&mut self, connection: Connection, line: &[u8], now: f64) -> Reaction {
         self.counts.messages += 1;
-        self.sessions.hear(connection, now);
-        let message = message::read(line, &self.names);
+        self.sessions.record_activity(connection, now);
+        let message = message::parse(line, &self.names);
         let role = self.sessions.role(connection);
         match (message, role) {
-            (Ok(Message::Heartbeat), _) => Reaction::Answer(ALIVE),
+            (Ok(Message::Heartbeat), _) => Reaction::Answer(HEARTBEAT_ANSWER),
             (Ok(Message::Join(join)), None) => self.join(connection, &join, now),
             (Ok(_), None) => self.refuse("a report before joining".to_string()),
             (Err(what), None) => self.refuse(what.to_string()),
             // What follows on it means nothing, so whoever it was has left.
-            (Err(Wrong::Unreadable(what)), Some(role)) => {
+            (Err(MessageError::Malformed(what)), Some(role)) => {
                 tracing::debug!(?role, %what, line = ?String::from_utf8_lossy(&line[..line.len().min(160)]), "unreadable");
                 self.refuse(what)
             }
-            (Err(Wrong::Spoilt(what)), Some(_)) => self.spoilt(line, &what),
+            (Err(MessageError::InvalidField(what)), Some(_)) => self.spoilt(line, &what),
             (Ok(message), Some(role)) => self.report(message, connection, role, line),
         }
     }
@@ -162,15 +162,15 @@
 
     fn join(&mut self, connection: Connection, join: &Join, now: f64) -> Reaction {
         let replaced = match self.sessions.join(connection, join, now) {
-            Joining::New(replaced) => replaced,
-            Joining::Again => return Reaction::Nothing,
-            Joining::Outdated => {
+            JoinOutcome::Joined(replaced) => replaced,
+            JoinOutcome::AlreadyJoined => return Reaction::Nothing,
+            JoinOutcome::Superseded => {
                 return self.refuse("a later connection has joined in its place".to_string())
             }
         };
         self.counts.joined += 1;
         if let Join::Proxy { proxy, zone, rate } = *join {
-            self.publisher.forget(proxy);
+            self.publisher.unbind(proxy);
             self.round.streams.push(Stream { proxy, up: true, zone, rate });
         }
         Reaction::Joined(replaced)
@@ -178,7 +178,7 @@
 
     fn report(&mut self, message: Message, connection: Connection, role: Role, line: &[u8]) -> Reaction {
         match (message, role) {
-            (Message::Met(met), Role::Collector(_)) => match self.register.address(&met.server) {
+            (Message::ServerReport(met), Role::Collector(_)) => match self.register.address(&met.server) {
                 None => self.counts.strange += 1,
                 Some(server) => {
                     self.counts.tries += met.tries;
@@ -201,7 +201,7 @@
             (Message::Acknowledgement(acknowledgement), Role::Proxy(proxy))
                 if acknowledgement.proxy == proxy =>
             {
-                if !self.sessions.answer(connection, acknowledgement.number) {
+                if !self.sessions.acknowledge(connection, acknowledgement.number) {
                     return self.spoilt(line, "no mark that was written on this stream");
                 }
                 self.round.acknowledgements.push(acknowledgement)
@@ -215,7 +215,7 @@
     pub fn ended(&mut self, connection: Connection) {
         if let Some(proxy) = self.sessions.leave(connection) {
             self.counts.left += 1;
-            self.publisher.forget(proxy);
+            self.publisher.unbind(proxy);
             self.round.streams.push(Stream { proxy, up: false, zone: 0, rate: 0.0 });
         }
     }
@@ -275,8 +275,8 @@
         round.now = now;
         self.counts.rounds += 1;
         self.balancer.round(&round, &mut self.publisher);
-        let (marked, name) = (self.publisher.marked(), |server| self.register.name(server));
-        let (messages, actions) = self.publisher.finish(self.sessions.proxies(), &name);
+        let (marked, name) = (self.publisher.mark_number(), |server| self.register.name(server));
+        let (messages, actions) = self.publisher.finish_round(self.sessions.proxies(), &name);
         for (after, number) in actions.timers {
             self.timers.set(now + after, number);
         }
@@ -284,7 +284,7 @@
             tracing::info!(note);
         }
         // Between reports demand fades and says less; without anybody to write to there is none to fade.
-        if !messages.is_empty() || !self.publisher.serves() {
+        if !messages.is_empty() || !self.publisher.has_bound_proxies() {
             self.beliefs = self.balancer.beliefs(now);
         }
         let due = |server| Some((server, self.register.process(server)?));
@@ -293,10 +293,10 @@
             self.checking.insert(*server, *process).is_none_or(|under_way| under_way != *process)
         };
         let checks = checks.into_iter().filter(is_new).collect();
-        let to = |(proxy, bytes)| Some((self.sessions.of(proxy)?, bytes));
+        let to = |(proxy, bytes)| Some((self.sessions.connection(proxy)?, bytes));
         let messages: Vec<_> = messages.into_iter().filter_map(to).collect();
         for (connection, mark) in messages.iter().filter_map(|(to, _)| Some((to, marked?))) {
-            self.sessions.ask(*connection, mark, now);
+            self.sessions.record_mark(*connection, mark, now);
         }
         self.counts.written += messages.len() as u64;
         let silent = self.sessions.silent(now, self.patience);
