--- a/fetch/src/lib.rs
+++ b/fetch/src/lib.rs
@@ -1,4 +1,6 @@
-//! Bounded HTTP GETs: one on a connection of its own with a limit on time, or many on a kept one.
+//! HTTP/1.1 GET requests with limits on time and response size.
+//!
+//! [`get`] opens a connection for one request. [`Connection`] sends several requests on one connection.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -13,20 +15,20 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// Whose sockets and timers a call waits by.
+/// The reactor that provides a call's sockets and timers.
 pub trait Runtime {
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Dials, from a local address if one is named.
+    /// Connects, from the local address `from` if one is given.
     fn connect(
         to: SocketAddr,
         from: Option<SocketAddr>,
     ) -> impl Future<Output = std::io::Result<Self::Stream>>;
 
-    fn sleep(span: Duration) -> impl Future<Output = ()>;
+    fn sleep(duration: Duration) -> impl Future<Output = ()>;
 }
 
-/// The reactor of `async-io`, which all threads share.
+/// The process-wide reactor of `async-io`.
 pub struct AsyncIo;
 
 impl Runtime for AsyncIo {
@@ -36,12 +38,12 @@
         connect(to, from).await
     }
 
-    async fn sleep(span: Duration) {
-        Timer::after(span).await;
+    async fn sleep(duration: Duration) {
+        Timer::after(duration).await;
     }
 }
 
-/// The reactor of a program with a single thread.
+/// The reactor of `oatlever-reactor`, for single-threaded programs.
 pub struct SingleThreaded;
 
 impl Runtime for SingleThreaded {
@@ -51,12 +53,12 @@
         Self::Stream::connect(to, from).await
     }
 
-    async fn sleep(span: Duration) {
-        oatlever_reactor::Timer::after(span).await;
+    async fn sleep(duration: Duration) {
+        oatlever_reactor::Timer::after(duration).await;
     }
 }
 
-/// A url to read, `http://address:port/path`.
+/// A URL of the form `http://address:port/path`. Host names are not resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpUrl {
     pub host: SocketAddr,
@@ -64,7 +66,7 @@
 }
 
 impl HttpUrl {
-    /// None where the text is no such url.
+    /// Returns `None` if `text` does not have this form.
     pub fn parse(text: &str) -> Option<HttpUrl> {
         let rest = text.strip_prefix("http://")?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -72,90 +74,94 @@
     }
 }
 
+/// An HTTP response.
 pub struct Answer {
     pub status: u16,
-    /// The server's own clock, as it stated it (RFC 9110, section 6.6.1).
+    /// The `Date` header, by the server's clock (RFC 9110, section 6.6.1).
     pub date: Option<String>,
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer.
+/// Why a request got no complete response.
 #[derive(Debug)]
 pub enum Error {
-    /// No connection: nothing was asked.
+    /// The connection was not established, so no request was sent.
     Connect(std::io::Error),
-    /// The connection or the message broke.
+    /// The connection failed, or the response is not valid HTTP.
     Broken(String),
+    /// The timeout, in seconds, expired.
     Timeout(f64),
+    /// The body exceeds the limit, in bytes.
     TooLarge(usize),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Error::Connect(e) => write!(f, "no connection: {e}"),
-            Error::Broken(what) => write!(f, "broken answer: {what}"),
-            Error::Timeout(patience) => write!(f, "no whole answer within {patience} s"),
-            Error::TooLarge(most) => write!(f, "more than {most} bytes"),
+            Error::Connect(e) => write!(f, "connection failed: {e}"),
+            Error::Broken(cause) => write!(f, "request failed: {cause}"),
+            Error::Timeout(timeout) => write!(f, "no complete response within {timeout} s"),
+            Error::TooLarge(max_bytes) => write!(f, "response body exceeds {max_bytes} bytes"),
         }
     }
 }
 
-/// A connection that may carry one call after the other.
+/// An HTTP/1.1 connection that carries requests one after another.
 pub struct Connection {
     host: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
-    /// Carries the bytes while a call is under way; none once it has ended.
-    carrier: Option<Pin<Box<dyn Future<Output = hyper::Result<()>>>>>,
+    /// Drives the connection while a request is in flight; `None` once the connection has ended.
+    driver: Option<Pin<Box<dyn Future<Output = hyper::Result<()>>>>>,
 }
 
 impl Connection {
-    /// Dials, from a local address if one is named. Has no limit on time. Errors: no connection.
-    pub async fn connect<N: Runtime>(host: SocketAddr, from: Option<SocketAddr>) -> Result<Self, Error> {
-        let stream = N::connect(host, from).await.map_err(Error::Connect)?;
+    /// Connects, from the local address `from` if one is given. There is no timeout.
+    pub async fn connect<R: Runtime>(host: SocketAddr, from: Option<SocketAddr>) -> Result<Self, Error> {
+        let stream = R::connect(host, from).await.map_err(Error::Connect)?;
         let handshake = hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await;
-        let (sender, carrier) = handshake.map_err(broken)?;
-        Ok(Connection { host, sender, carrier: Some(Box::pin(carrier)) })
+        let (sender, driver) = handshake.map_err(broken)?;
+        Ok(Connection { host, sender, driver: Some(Box::pin(driver)) })
     }
 
     pub fn host(&self) -> SocketAddr {
         self.host
     }
 
-    /// Asks for a path; `last` tells the other side that no call follows. Has no limit on time; one that is
-    /// given up on under way must not be followed by another. Errors: the connection broke, or more than
-    /// `most_bytes` came.
-    pub async fn get(&mut self, path: &str, last: bool, most_bytes: usize) -> Result<Answer, Error> {
+    /// Requests `path`. `last` asks the server to close the connection afterwards. There is no timeout.
+    ///
+    /// After dropping this future before it completes, the connection must not be used again. Fails if the
+    /// connection breaks or the body exceeds `max_bytes`.
+    pub async fn get(&mut self, path: &str, last: bool, max_bytes: usize) -> Result<Answer, Error> {
         let mut request = hyper::Request::get(path).header("host", self.host.to_string());
         if last {
             request = request.header("connection", "close");
         }
         let request = request.body(Empty::<Bytes>::new()).map_err(|e| Error::Broken(e.to_string()))?;
-        let (sender, carrier) = (&mut self.sender, &mut self.carrier);
-        let answered = async {
-            // A new connection takes a call once it is being carried.
+        let (sender, driver) = (&mut self.sender, &mut self.driver);
+        let answer = async {
+            // A new connection accepts a request only once its driver has been polled.
             sender.ready().await.map_err(broken)?;
             let response = sender.send_request(request).await.map_err(broken)?;
             let status = response.status().as_u16();
             let date = response.headers().get("date").and_then(|d| d.to_str().ok()).map(str::to_string);
-            let body = Limited::new(response.into_body(), most_bytes).collect().await.map_err(|e| {
+            let body = Limited::new(response.into_body(), max_bytes).collect().await.map_err(|e| {
                 match e.downcast_ref::<http_body_util::LengthLimitError>() {
-                    Some(_) => Error::TooLarge(most_bytes),
+                    Some(_) => Error::TooLarge(max_bytes),
                     None => Error::Broken(e.to_string()),
                 }
             })?;
             Ok(Answer { status, date, body: body.to_bytes().to_vec() })
         };
-        // It only carries the exchange; when it ends first, the exchange says why.
-        let carry = async {
-            if let Some(carrying) = carrier {
-                let ended = carrying.await;
-                *carrier = None;
+        // If the driver ends first without an error, the outcome comes from the request itself.
+        let drive = async {
+            if let Some(running) = driver {
+                let ended = running.await;
+                *driver = None;
                 ended.map_err(broken)?;
             }
             future::pending().await
         };
-        future::or(answered, carry).await
+        future::or(answer, drive).await
     }
 }
 
@@ -163,27 +169,27 @@
     Error::Broken(e.to_string())
 }
 
-/// What `work` comes to, within `patience` seconds.
-pub async fn with_timeout<N: Runtime, T>(
-    patience: f64,
+/// Runs `work`, and fails with [`Error::Timeout`] after `timeout` seconds.
+pub async fn with_timeout<R: Runtime, T>(
+    timeout: f64,
     work: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let late = async {
-        N::sleep(Duration::from_secs_f64(patience)).await;
-        Err(Error::Timeout(patience))
+    let expired = async {
+        R::sleep(Duration::from_secs_f64(timeout)).await;
+        Err(Error::Timeout(timeout))
     };
-    future::or(work, late).await
+    future::or(work, expired).await
 }
 
-/// Connects, from a given local address where one is named.
+/// Connects on the reactor of `async-io`, from the local address `from` if one is given.
 pub async fn connect(to: SocketAddr, from: Option<SocketAddr>) -> std::io::Result<Async<TcpStream>> {
     match from {
         None => Async::<TcpStream>::connect(to).await,
-        Some(from) => source::connect(to, from).await,
+        Some(from) => bound::connect(to, from).await,
     }
 }
 
-mod source {
+mod bound {
     use super::*;
     use rustix::net as sys;
 
@@ -205,14 +211,16 @@
     }
 }
 
-/// Reads a url within `patience` seconds and `most_bytes` of body, from a local address if one is named.
-pub async fn get<N: Runtime>(
+/// Sends one GET request on a new connection, from the local address `from` if one is given.
+///
+/// Fails if the whole exchange takes longer than `timeout` seconds or the body exceeds `max_bytes`.
+pub async fn get<R: Runtime>(
     url: &HttpUrl,
     from: Option<SocketAddr>,
-    patience: f64,
-    most_bytes: usize,
+    timeout: f64,
+    max_bytes: usize,
 ) -> Result<Answer, Error> {
-    let asked =
-        async { Connection::connect::<N>(url.host, from).await?.get(&url.path, true, most_bytes).await };
-    with_timeout::<N, _>(patience, asked).await
+    let answer =
+        async { Connection::connect::<R>(url.host, from).await?.get(&url.path, true, max_bytes).await };
+    with_timeout::<R, _>(timeout, answer).await
 }
--- a/identity/src/grants.rs
+++ b/identity/src/grants.rs
@@ -1,14 +1,14 @@
-//! Which identity may be which node. No I/O, no clock: the time comes in, in seconds.
+//! Authorizes certificate identities to act as nodes. Does no I/O; the current time is an argument.
 //!
-//! A grant names an identity, whole or by how it begins, and what it may be: one node, or any node of a zone.
-//! Where any grant speaks of a node itself, only such grants make it that node: a grant of the whole zone
-//! would otherwise let each proxy there pass for the one that was singled out.
+//! A grant maps an identity, given in full or as a prefix, to one node or to all nodes of a zone. If any grant
+//! names a node, only grants that name it apply to that node. Otherwise a grant for its zone would let every
+//! proxy of the zone impersonate the node that has a grant of its own.
 
 use crate::certificate::Peer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What an identity may be.
+/// The nodes that a grant covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
     Node(String),
@@ -16,60 +16,61 @@
     Zone(String),
 }
 
+/// Permission for an identity to act as the nodes of a scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// A name in the certificate; one that ends in `*` stands for all that begin like it.
+    /// A name in the certificate. A trailing `*` makes it a prefix pattern.
     pub identity: String,
     pub scope: Scope,
 }
 
-/// A node as the settings have it.
+/// A node from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Node<'a> {
     pub name: &'a str,
     pub zone: &'a str,
 }
 
-/// Why a peer is not let in as a node.
+/// Why a peer may not act as a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Denied {
-    /// It showed no certificate, and grants are set.
+    /// Grants are configured and the peer presented no certificate.
     NoCertificate,
-    /// It showed one that has run out, s ago.
+    /// The certificate expired this many seconds ago.
     Expired(f64),
-    /// None of its names may be this node.
+    /// No grant maps any of the peer's names to this node.
     NotGranted { node: String, names: Vec<String> },
-    /// It says that it sits in another zone than the node does.
+    /// The peer claims another zone than the node's.
     OtherZone { node: String, zone: String, claimed: String },
 }
 
-/// Names of a certificate that are told in a refusal.
-const TOLD: usize = 4;
+/// Maximum number of certificate names in an error message.
+const MAX_NAMES_SHOWN: usize = 4;
 
 impl fmt::Display for Denied {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Denied::NoCertificate => write!(f, "no client certificate was shown"),
-            Denied::Expired(ago) => write!(f, "the client certificate ran out {ago:.0} s ago"),
+            Denied::NoCertificate => write!(f, "no client certificate was presented"),
+            Denied::Expired(ago) => write!(f, "the client certificate expired {ago:.0} s ago"),
             Denied::NotGranted { node, names } => {
-                let told: Vec<_> = names.iter().take(TOLD).map(String::as_str).collect();
-                write!(f, "the names {} may not be the node {node:?}", told.join(", "))
+                let shown: Vec<_> = names.iter().take(MAX_NAMES_SHOWN).map(String::as_str).collect();
+                write!(f, "no grant allows the names {} to act as node {node:?}", shown.join(", "))
             }
             Denied::OtherZone { node, zone, claimed } => {
-                write!(f, "the node {node:?} sits in zone {zone:?}, not in {claimed:?}")
+                write!(f, "node {node:?} is in zone {zone:?}, not in {claimed:?}")
             }
         }
     }
 }
 
-/// What identities of one form are granted.
+/// The scopes granted to one identity or identity prefix.
 #[derive(Clone, Debug, Default)]
-struct Granted {
+struct Scopes {
     nodes: BTreeSet<String>,
     zones: BTreeSet<String>,
 }
 
-impl Granted {
+impl Scopes {
     fn add(&mut self, scope: &Scope) {
         match scope {
             Scope::Node(node) => self.nodes.insert(node.clone()),
@@ -82,50 +83,52 @@
     }
 }
 
-/// All grants, found by identity in time that grows with the length of the name, not with their number.
+/// All grants, indexed so that lookup time depends on the length of a name and not on the number of grants.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
-    whole: BTreeMap<String, Granted>,
-    /// By how identities begin.
-    beginnings: BTreeMap<String, Granted>,
-    /// Lengths of the beginnings.
-    lengths: BTreeSet<usize>,
-    /// Nodes that some grant names.
-    named: BTreeSet<String>,
-    any: bool,
+    exact: BTreeMap<String, Scopes>,
+    by_prefix: BTreeMap<String, Scopes>,
+    /// The distinct lengths of the keys of `by_prefix`.
+    prefix_lengths: BTreeSet<usize>,
+    /// Nodes that at least one grant names.
+    named_nodes: BTreeSet<String>,
+    enabled: bool,
 }
 
 impl Grants {
     pub fn new(grants: &[Grant]) -> Self {
-        let mut all = Grants { any: !grants.is_empty(), ..Grants::default() };
+        let mut all = Grants { enabled: !grants.is_empty(), ..Grants::default() };
         for grant in grants {
             if let Scope::Node(node) = &grant.scope {
-                all.named.insert(node.clone());
+                all.named_nodes.insert(node.clone());
             }
-            let granted = match grant.identity.strip_suffix('*') {
-                Some(beginning) => {
-                    all.lengths.insert(beginning.len());
-                    all.beginnings.entry(beginning.to_string()).or_default()
+            let scopes = match grant.identity.strip_suffix('*') {
+                Some(prefix) => {
+                    all.prefix_lengths.insert(prefix.len());
+                    all.by_prefix.entry(prefix.to_string()).or_default()
                 }
-                None => all.whole.entry(grant.identity.clone()).or_default(),
+                None => all.exact.entry(grant.identity.clone()).or_default(),
             };
-            granted.add(&grant.scope);
+            scopes.add(&grant.scope);
         }
         all
     }
 
-    fn names(&self, identity: &str, node: Node) -> bool {
-        let only_by_name = self.named.contains(node.name);
-        let covers = |granted: &Granted| granted.covers(node, only_by_name);
-        let begins = |length: &usize| {
-            let beginning = identity.get(..*length)?;
-            self.beginnings.get(beginning)
+    fn covers(&self, identity: &str, node: Node) -> bool {
+        let only_by_name = self.named_nodes.contains(node.name);
+        let covers = |scopes: &Scopes| scopes.covers(node, only_by_name);
+        let with_prefix = |length: &usize| {
+            let prefix = identity.get(..*length)?;
+            self.by_prefix.get(prefix)
         };
-        self.whole.get(identity).is_some_and(covers) || self.lengths.iter().filter_map(begins).any(covers)
+        self.exact.get(identity).is_some_and(covers)
+            || self.prefix_lengths.iter().filter_map(with_prefix).any(covers)
     }
 
-    /// Whether a peer may come as a node now, Unix time in s. `claimed` is the zone that it says it sits in,
-    /// if it says any. Without grants every node is open to whoever can connect; its zone must still agree.
+    /// Checks whether a peer may act as `node` at `now` (Unix time in seconds).
+    ///
+    /// `claimed` is the zone that the peer states, if any. Without grants any peer may act as any node, but a
+    /// claimed zone must still match.
     pub fn authorize(
         &self,
         peer: Option<&Peer>,
@@ -133,22 +136,22 @@
         claimed: Option<&str>,
         now: f64,
     ) -> Result<(), Denied> {
-        let named = || node.name.to_string();
+        let name = || node.name.to_string();
         if let Some(claimed) = claimed.filter(|claimed| *claimed != node.zone) {
             let (zone, claimed) = (node.zone.to_string(), claimed.to_string());
-            return Err(Denied::OtherZone { node: named(), zone, claimed });
+            return Err(Denied::OtherZone { node: name(), zone, claimed });
         }
-        // One that has run out proves nothing, whether or not grants ask for it.
+        // An expired certificate is rejected even if no grants are configured.
         if let Some(peer) = peer.filter(|peer| peer.expires_at <= now) {
             return Err(Denied::Expired(now - peer.expires_at));
         }
-        if !self.any {
+        if !self.enabled {
             return Ok(());
         }
         let peer = peer.ok_or(Denied::NoCertificate)?;
-        if peer.names.iter().any(|identity| self.names(identity, node)) {
+        if peer.names.iter().any(|identity| self.covers(identity, node)) {
             return Ok(());
         }
-        Err(Denied::NotGranted { node: named(), names: peer.names.clone() })
+        Err(Denied::NotGranted { node: name(), names: peer.names.clone() })
     }
 }
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -1,7 +1,7 @@
-//! Keys and certificates from files, taken up anew when the files change.
+//! TLS keys and certificates that are reloaded when their files change.
 //!
-//! A connection keeps what it was set up with; only later ones see new keys. Files that can't be used leave
-//! the last good keys in place: a half-written file must not keep proxies out.
+//! Reloaded keys apply to new connections only. If the files are invalid, the last valid keys stay in use, so
+//! that a partially written file does not lock proxies out.
 
 use futures_rustls::pki_types::pem::PemObject;
 use futures_rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -11,22 +11,23 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// HTTP/2 (RFC 7540, 3.3).
+/// ALPN identifier of HTTP/2 (RFC 7540, 3.3).
 const PROTOCOL: &[u8] = b"h2";
 
+/// Paths of the PEM files for a TLS server.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
-    /// The certificate and those above it, PEM.
+    /// The server certificate, followed by its chain.
     pub certificate: PathBuf,
-    /// Its private key, PEM.
+    /// The private key of the certificate.
     pub key: PathBuf,
-    /// Those whose word on clients is taken, PEM; clients need no certificate without.
+    /// CA certificates that client certificates are verified against. If `None`, clients need no certificate.
     pub authorities: Option<PathBuf>,
 }
 
-/// What the files held; never logged.
+/// The contents of the files. Deliberately not `Debug`, so that the private key is never logged.
 #[derive(Clone, PartialEq, Eq)]
-struct Texts {
+struct FileContents {
     certificate: Vec<u8>,
     key: Vec<u8>,
     authorities: Option<Vec<u8>>,
@@ -36,31 +37,31 @@
     let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
     let read = read.map_err(|e| format!("{}: {e}", path.display()))?;
     if read.is_empty() {
-        return Err(format!("{}: no certificate in it", path.display()));
+        return Err(format!("{}: contains no certificate", path.display()));
     }
     Ok(read)
 }
 
 impl TlsFiles {
-    fn read(&self) -> Result<Texts, String> {
+    fn read(&self) -> Result<FileContents, String> {
         let read = |path: &PathBuf| std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()));
-        Ok(Texts {
+        Ok(FileContents {
             certificate: read(&self.certificate)?,
             key: read(&self.key)?,
             authorities: self.authorities.as_ref().map(read).transpose()?,
         })
     }
 
-    fn config(&self, texts: &Texts) -> Result<ServerConfig, String> {
-        let chain = certificates(&self.certificate, &texts.certificate)?;
-        // What is wrong with a key is told without a part of it.
-        let key = PrivateKeyDer::from_pem_slice(&texts.key)
-            .map_err(|_| format!("{}: no private key that can be read", self.key.display()))?;
+    fn config(&self, contents: &FileContents) -> Result<ServerConfig, String> {
+        let chain = certificates(&self.certificate, &contents.certificate)?;
+        // The parser's error is discarded, as it could quote parts of the key.
+        let key = PrivateKeyDer::from_pem_slice(&contents.key)
+            .map_err(|_| format!("{}: contains no readable private key", self.key.display()))?;
         let provider = Arc::new(ring::default_provider());
         let builder = ServerConfig::builder_with_provider(provider.clone())
             .with_safe_default_protocol_versions()
             .map_err(|e| e.to_string())?;
-        let builder = match (&self.authorities, &texts.authorities) {
+        let builder = match (&self.authorities, &contents.authorities) {
             (Some(path), Some(text)) => {
                 let mut roots = RootCertStore::empty();
                 for authority in certificates(path, text)? {
@@ -76,52 +77,52 @@
             .with_single_cert(chain, key)
             .map_err(|e| format!("{} and {}: {e}", self.certificate.display(), self.key.display()))?;
         config.alpn_protocols = vec![PROTOCOL.to_vec()];
-        // A session taken up again would pass by authorities that were dropped since.
+        // A resumed session would skip verification against authorities that were removed meanwhile.
         config.session_storage = Arc::new(NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
         Ok(config)
     }
 }
 
-/// The keys in use.
+/// The TLS keys in use, and the files that they are loaded from.
 pub struct TlsKeys {
     files: TlsFiles,
-    texts: Texts,
+    contents: FileContents,
     config: Arc<ServerConfig>,
-    /// Why the files as they are now are not in use.
-    trouble: Option<String>,
+    /// The error of the last reload, if the current files could not be used.
+    error: Option<String>,
 }
 
 impl TlsKeys {
-    /// Errors: which file can't be used, and why.
+    /// Loads the keys. The error names the file that can't be used.
     pub fn load(files: TlsFiles) -> Result<TlsKeys, String> {
-        let texts = files.read()?;
-        let config = Arc::new(files.config(&texts)?);
-        Ok(TlsKeys { files, texts, config, trouble: None })
+        let contents = files.read()?;
+        let config = Arc::new(files.config(&contents)?);
+        Ok(TlsKeys { files, contents, config, error: None })
     }
 
-    /// Looks at the files again. True where new keys were taken up. Errors, told once for each trouble: why
-    /// the old ones stay.
+    /// Reads the files again and returns whether new keys are in use. If the files can't be used, the old keys
+    /// stay; an error that repeats is returned only once.
     pub fn reload(&mut self) -> Result<bool, String> {
-        let fresh = self.files.read().and_then(|texts| {
-            if texts == self.texts {
+        let loaded = self.files.read().and_then(|contents| {
+            if contents == self.contents {
                 return Ok(None);
             }
-            Ok(Some((self.files.config(&texts)?, texts)))
+            Ok(Some((self.files.config(&contents)?, contents)))
         });
-        match fresh {
+        match loaded {
             Ok(None) => {
-                self.trouble = None;
+                self.error = None;
                 Ok(false)
             }
-            Ok(Some((config, texts))) => {
-                (self.config, self.texts, self.trouble) = (Arc::new(config), texts, None);
+            Ok(Some((config, contents))) => {
+                (self.config, self.contents, self.error) = (Arc::new(config), contents, None);
                 Ok(true)
             }
-            Err(what) if self.trouble.as_ref() == Some(&what) => Ok(false),
-            Err(what) => {
-                self.trouble = Some(what.clone());
-                Err(what)
+            Err(error) if self.error.as_ref() == Some(&error) => Ok(false),
+            Err(error) => {
+                self.error = Some(error.clone());
+                Err(error)
             }
         }
     }
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Who a peer is by its certificate, and as whom it may come.
+//! TLS identities of peers, and the nodes that they may act as.
 //!
-//! `grants` decides, without I/O, which identity may be which node; `certificate` reads names and times out
-//! of a certificate that the handshake has found good; `keys` holds the files' keys and takes up new ones.
+//! `grants` decides, without I/O, which identity may act as which node. `certificate` extracts the names and
+//! the expiry time of a verified certificate. `keys` loads the server's keys and reloads them when they change.
 
 mod certificate;
 mod grants;
