--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -1,11 +1,13 @@
-//! The settings an instance starts with: the JSON object of the simulator's first event, which a pilot on
-//! the platform finds in its configuration. Times there are milliseconds; what is given here are seconds.
+//! Parser for the JSON settings that an instance starts with.
+//!
+//! The simulator passes them in its first event, and a pilot on the platform reads them from its
+//! configuration. Times are milliseconds in the JSON and seconds in the parsed structures.
 
 use oatlever::round::{Channel, Levels, QueryClass, Rules, Site};
 use serde_json::Value;
 use std::fmt;
 
-/// What is wrong with the input, the settings or what follows them, and where.
+/// An invalid value in the settings or in a later record, with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -15,25 +17,25 @@
     }
 }
 
-fn malformed<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
+fn malformed<T>(message: impl Into<String>) -> Result<T, Malformed> {
+    Err(Malformed(message.into()))
 }
 
-/// Figures without a bound of their own, and times in ms, are no larger: more is a mistake, and a span of years can't
-/// be waited for.
-const MOST: f64 = 1e9;
-/// ms; a pilot that looked up more rarely would serve nobody.
-const LONGEST_TICK: f64 = 60_000.0;
-/// Proxies, slices and pilots number below this.
-const NUMBERS: f64 = 65536.0;
-/// Bytes; no name is longer.
-const LONGEST_NAME: usize = 256;
-/// Classes are told apart by the bits of a sum.
-const MOST_CLASSES: usize = 16;
-/// Characters of a wrong value that are told.
-const TOLD: usize = 80;
+/// Upper bound of numbers and of times in ms that have no bound of their own. Anything larger is a mistake, and
+/// no timer can wait for years.
+const MAX_NUMBER: f64 = 1e9;
+/// Upper bound of the tick, in ms. A pilot that ran rounds less often could not serve anyone.
+const MAX_TICK_MS: f64 = 60_000.0;
+/// Upper bound of the numbers of proxies, slices and pilots: they are identified by 16-bit integers.
+const MAX_COUNT: f64 = 65536.0;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Maximum number of classes: sets of classes are 16-bit masks.
+const MAX_CLASSES: usize = 16;
+/// Maximum number of characters of an invalid value that are quoted in an error message.
+const MAX_QUOTED_CHARS: usize = 80;
 
-/// A value of settings together with the path that led to it, for messages.
+/// A JSON value and its path from the root, which error messages state.
 #[derive(Clone, Debug)]
 pub struct Node<'a> {
     value: &'a Value,
@@ -49,13 +51,14 @@
         self.value
     }
 
-    /// A field, where it is there and not null.
+    /// Returns a field of an object, or `None` if it is missing or null.
     pub fn optional(&self, key: &str) -> Option<Node<'a>> {
         let dot = if self.path.is_empty() { "" } else { "." };
         let found = self.value.get(key).filter(|value| !value.is_null());
         found.map(|value| Node { value, path: format!("{}{dot}{key}", self.path) })
     }
 
+    /// Returns a field of an object. Fails if it is missing or null.
     pub fn required(&self, key: &str) -> Result<Node<'a>, Malformed> {
         match self.optional(key) {
             Some(node) => Ok(node),
@@ -64,44 +67,48 @@
         }
     }
 
-    pub fn invalid<T>(&self, wanted: &str) -> Result<T, Malformed> {
+    /// Fails with an error that quotes this value and states what was expected instead.
+    pub fn invalid<T>(&self, expected: &str) -> Result<T, Malformed> {
         let text = self.value.to_string();
-        let told: String = text.chars().take(TOLD).collect();
-        let more = if told.len() < text.len() { "..." } else { "" };
-        malformed(format!("`{}` is {told}{more}, not {wanted}", self.path))
+        let quoted: String = text.chars().take(MAX_QUOTED_CHARS).collect();
+        let ellipsis = if quoted.len() < text.len() { "..." } else { "" };
+        malformed(format!("`{}` is {quoted}{ellipsis}, not {expected}", self.path))
     }
 
-    pub fn number(&self, least: f64, most: f64) -> Result<f64, Malformed> {
+    pub fn number(&self, min: f64, max: f64) -> Result<f64, Malformed> {
         match self.value.as_f64() {
-            Some(x) if x >= least && x <= most => Ok(x),
-            _ if least == f64::MIN_POSITIVE => self.invalid(&format!("a number above 0, to {most}")),
-            _ => self.invalid(&format!("a number from {least} to {most}")),
+            Some(x) if x >= min && x <= max => Ok(x),
+            _ if min == f64::MIN_POSITIVE => self.invalid(&format!("a number above 0, to {max}")),
+            _ => self.invalid(&format!("a number from {min} to {max}")),
         }
     }
 
-    pub fn integer(&self, least: f64, most: f64) -> Result<f64, Malformed> {
-        match self.number(least, most) {
+    pub fn integer(&self, min: f64, max: f64) -> Result<f64, Malformed> {
+        match self.number(min, max) {
             Ok(x) if x.fract() == 0.0 => Ok(x),
-            _ => self.invalid(&format!("a whole number from {least} to {most}")),
+            _ => self.invalid(&format!("a whole number from {min} to {max}")),
         }
     }
 
-    fn num(&self, key: &str) -> Result<f64, Malformed> {
-        self.required(key)?.number(0.0, MOST)
+    fn non_negative(&self, key: &str) -> Result<f64, Malformed> {
+        self.required(key)?.number(0.0, MAX_NUMBER)
     }
 
-    fn above_0(&self, key: &str) -> Result<f64, Malformed> {
-        self.required(key)?.number(f64::MIN_POSITIVE, MOST)
+    fn positive(&self, key: &str) -> Result<f64, Malformed> {
+        self.required(key)?.number(f64::MIN_POSITIVE, MAX_NUMBER)
     }
 
+    /// Reads a time in ms and returns seconds.
     fn seconds(&self, key: &str) -> Result<f64, Malformed> {
-        Ok(self.num(key)? / 1000.0)
+        Ok(self.non_negative(key)? / 1000.0)
     }
 
-    fn seconds_above_0(&self, key: &str) -> Result<f64, Malformed> {
-        Ok(self.above_0(key)? / 1000.0)
+    /// Reads a time in ms that must not be 0, and returns seconds.
+    fn positive_seconds(&self, key: &str) -> Result<f64, Malformed> {
+        Ok(self.positive(key)? / 1000.0)
     }
 
+    /// Reads a boolean; a missing field means false.
     fn flag(&self, key: &str) -> Result<bool, Malformed> {
         match self.optional(key) {
             None => Ok(false),
@@ -115,17 +122,17 @@
     pub fn string(&self) -> Result<&'a str, Malformed> {
         match self.value.as_str() {
             Some(text) => Ok(text),
-            None => self.invalid("a text"),
+            None => self.invalid("a string"),
         }
     }
 
-    /// What one of some words means.
-    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, Malformed> {
+    /// Maps a string that must be one of `options` to its value.
+    fn choice<T: Copy>(&self, key: &str, options: &[(&str, T)]) -> Result<T, Malformed> {
         let node = self.required(key)?;
-        match words.iter().find(|(word, _)| node.value.as_str() == Some(word)) {
-            Some((_, meant)) => Ok(*meant),
+        match options.iter().find(|(name, _)| node.value.as_str() == Some(name)) {
+            Some((_, value)) => Ok(*value),
             None => {
-                let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+                let all: Vec<&str> = options.iter().map(|(name, _)| *name).collect();
                 node.invalid(&format!("one of {}", all.join(", ")))
             }
         }
@@ -141,24 +148,26 @@
     }
 }
 
-/// Texts that name things, each another.
-fn distinct<'a>(nodes: impl Iterator<Item = Result<Node<'a>, Malformed>>) -> Result<Vec<String>, Malformed> {
+/// Reads names, which must be unique.
+fn unique_names<'a>(
+    nodes: impl Iterator<Item = Result<Node<'a>, Malformed>>,
+) -> Result<Vec<String>, Malformed> {
     let mut names: Vec<String> = Vec::new();
     for node in nodes {
         let node = node?;
         let name = node.string()?;
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return node.invalid(&format!("a name of 1 to {LONGEST_NAME} bytes"));
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return node.invalid(&format!("a name of 1 to {MAX_NAME_BYTES} bytes"));
         }
         if names.iter().any(|other| other == name) {
-            return node.invalid("another name than those before it");
+            return node.invalid("a unique name");
         }
         names.push(name.to_string());
     }
     Ok(names)
 }
 
-/// What the decisions are told at their start.
+/// Settings of the decision logic.
 #[derive(Clone, Debug)]
 pub struct InstanceSettings {
     pub site: Site,
@@ -167,38 +176,40 @@
     pub rules: Rules,
 }
 
-/// What a pilot on the platform is told besides: the names that its messages use, and its pace.
+/// Further settings of a pilot on the platform: the names that messages use, and timing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// In the order of their numbers.
+    /// Zone names, indexed by zone number.
     pub zones: Vec<String>,
+    /// Class names, indexed by class number.
     pub classes: Vec<String>,
-    /// Least span between two rounds.
+    /// Minimum interval between two rounds, in seconds.
     pub tick: f64,
-    /// How long a connection to a server may take to come up.
+    /// Timeout for connecting to a server, in seconds.
     pub connect_timeout: f64,
 }
 
-/// Reads the text of the settings. Errors: it is not JSON, or something in it is missing or odd.
+/// Parses the settings. Fails if they are not JSON, or if a field is missing or invalid.
 pub fn parse(text: &[u8]) -> Result<InstanceSettings, Malformed> {
     match serde_json::from_slice(text) {
         Ok(value) => instance_settings(&Node::root(&value))
-            .map_err(|Malformed(what)| Malformed(format!("settings: {what}"))),
+            .map_err(|Malformed(message)| Malformed(format!("settings: {message}"))),
         Err(e) => malformed(format!("settings are not JSON: {e}")),
     }
 }
 
-/// The names in the settings. Errors: one is missing or is no name of its own.
+/// Reads the settings of a pilot on the platform. Fails if a field is missing or invalid, or if a name is not
+/// unique.
 pub fn platform_settings(settings: &Node) -> Result<PlatformSettings, Malformed> {
     Ok(PlatformSettings {
-        zones: distinct(settings.items("zones")?.into_iter().map(Ok))?,
-        classes: distinct(settings.items("lanes")?.iter().map(|lane| lane.required("name")))?,
-        tick: settings.required("tick-ms")?.number(0.0, LONGEST_TICK)? / 1000.0,
-        connect_timeout: settings.required("limits")?.seconds_above_0("connect-timeout-ms")?,
+        zones: unique_names(settings.items("zones")?.into_iter().map(Ok))?,
+        classes: unique_names(settings.items("lanes")?.iter().map(|lane| lane.required("name")))?,
+        tick: settings.required("tick-ms")?.number(0.0, MAX_TICK_MS)? / 1000.0,
+        connect_timeout: settings.required("limits")?.positive_seconds("connect-timeout-ms")?,
     })
 }
 
-/// What the decisions are told. Errors: something is missing, or is not what it should be.
+/// Reads the settings of the decision logic. Fails if a field is missing or invalid.
 pub fn instance_settings(settings: &Node) -> Result<InstanceSettings, Malformed> {
     let info = settings.required("family-info")?;
     let limits = settings.required("limits")?;
@@ -206,55 +217,58 @@
 
     let mut classes = Vec::new();
     for lane in settings.items("lanes")? {
-        classes.push(QueryClass { benefit: lane.num("worth")?, due_time: lane.seconds_above_0("slo-ms")? });
+        classes.push(QueryClass {
+            benefit: lane.non_negative("worth")?,
+            due_time: lane.positive_seconds("slo-ms")?,
+        });
     }
-    if classes.is_empty() || classes.len() > MOST_CLASSES {
+    if classes.is_empty() || classes.len() > MAX_CLASSES {
         return settings.required("lanes")?.invalid("a list of 1 to 16 classes");
     }
     let zones = settings.items("zones")?.len();
-    if zones == 0 || zones as f64 >= NUMBERS {
+    if zones == 0 || zones as f64 >= MAX_COUNT {
         return settings.required("zones")?.invalid("a list of one zone or more");
     }
-    let most_messages = info.required("reloads-max")?.integer(0.0, MOST)? as usize;
-    let list_on_request = settings.word("registry-mode", &[("pushed", false), ("on_request", true)])?;
+    let most_messages = info.required("reloads-max")?.integer(0.0, MAX_NUMBER)? as usize;
+    let list_on_request = settings.choice("registry-mode", &[("pushed", false), ("on_request", true)])?;
     Ok(InstanceSettings {
         site: Site {
             zones,
-            pilots: (settings.required("siblings")?.integer(0.0, NUMBERS)? as usize).max(1),
-            proxies: info.required("data-plane-size")?.integer(1.0, NUMBERS)?,
-            slices: info.required("partitions-n")?.integer(0.0, NUMBERS)? as usize,
+            pilots: (settings.required("siblings")?.integer(0.0, MAX_COUNT)? as usize).max(1),
+            proxies: info.required("data-plane-size")?.integer(1.0, MAX_COUNT)?,
+            slices: info.required("partitions-n")?.integer(0.0, MAX_COUNT)? as usize,
             one_owner: info.flag("one-owner")?,
             list_on_request,
             probes: limits.flag("probes")?,
-            levels: info.word(
+            levels: info.choice(
                 "level-kind",
                 &[("share", Levels::Share), ("rate", Levels::Rate), ("off", Levels::Ignored)],
             )?,
-            picks_of_two: info.word("choice", &[("weighted", false), ("round", false), ("two", true)])?,
-            report_period: info.seconds_above_0("period-ms")?,
+            picks_of_two: info.choice("choice", &[("weighted", false), ("round", false), ("two", true)])?,
+            report_period: info.positive_seconds("period-ms")?,
             write_life: info.seconds("write-life-ms")?,
         },
         classes,
         channel: Channel {
-            lines_per_second: info.above_0("egress-per-s")?,
-            most_waiting: info.above_0("queue-cap")?,
-            header_lines: info.num("head")?,
+            lines_per_second: info.positive("egress-per-s")?,
+            most_waiting: info.positive("queue-cap")?,
+            header_lines: info.non_negative("head")?,
             most_messages,
-            // A number of messages within no time is no limit at all.
+            // A message limit needs a window above 0.
             window: match most_messages {
                 0 => info.seconds("update-window-ms")?,
-                _ => info.seconds_above_0("update-window-ms")?,
+                _ => info.positive_seconds("update-window-ms")?,
             },
             longest_way: info.seconds("transit-max-ms")?,
         },
         rules: Rules {
             ask_within: match list_on_request {
-                true => rules.seconds_above_0("ask-within-ms")?,
+                true => rules.positive_seconds("ask-within-ms")?,
                 false => rules.seconds("ask-within-ms")?,
             },
             cold_share: rules.required("start-capacity")?.number(0.0, 1.0)?,
             warm_within: rules.seconds("warm-within-ms")?,
-            fall_multiple: rules.above_0("fall-multiple")?,
+            fall_multiple: rules.positive("fall-multiple")?,
             gone_does_not_bind: rules.flag("only-draining-binds")?,
         },
     })
--- a/pilot/tests/platform.rs
+++ b/pilot/tests/platform.rs
@@ -341,18 +341,18 @@
         (
             "/settings/lanes/1/name",
             json!("lookup"),
-            "`settings.lanes[1].name` is \"lookup\", not another name",
+            "`settings.lanes[1].name` is \"lookup\", not a unique name",
         ),
         ("/limits/sockets", json!(40), "`limits.sockets` is 40, not a number from 41"),
         ("/limits/memory_mb", json!(-1), "`limits.memory_mb` is -1, not a number from 1"),
         ("/limits", json!(3), "`limits` is 3, not an object"),
-        ("/seed", json!(7), "`seed` is 7, not a text"),
+        ("/seed", json!(7), "`seed` is 7, not a string"),
         ("/seed", json!("xyz"), "`seed` is \"xyz\", not a number in hexadecimal"),
         ("/seed", json!(null), "`seed` is missing"),
         ("/settings", json!(null), "`settings` is missing"),
-        ("/name", json!(3), "`name` is 3, not a text"),
+        ("/name", json!(3), "`name` is 3, not a string"),
         ("/listen", json!("here"), "`listen` is \"here\", not an address with a port"),
-        ("/discovery", json!(8500), "`discovery` is 8500, not a text"),
+        ("/discovery", json!(8500), "`discovery` is 8500, not a string"),
         ("/known", json!({"version": 1}), "`known` is {\"version\":1}, not usable: not a list"),
     ];
     for (n, (place, value, wanted)) in cases.into_iter().enumerate() {
