--- a/roster/src/server_list.rs
+++ b/roster/src/server_list.rs
@@ -5,7 +5,7 @@
 //! label stays the same.
 
 use crate::document::{Completeness, Document, ServerEntry};
-use oatlever::round::{Address, Entry, List, ListNews, Readiness};
+use oatlever::round::{Address, Entry, List, ListKind, Readiness};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -123,10 +123,10 @@
             let oldest = self.dropped.iter().min_by(|a, b| a.1.seen.total_cmp(&b.1.seen)).map(|(s, _)| *s);
             oldest.map(|server| self.dropped.remove(&server));
         }
-        let news =
-            if document.completeness == Completeness::Partial { ListNews::Changes } else { ListNews::Full };
+        let kind =
+            if document.completeness == Completeness::Partial { ListKind::Changes } else { ListKind::Full };
         changed |= self.members.len() != with_new || with_new != before;
-        Update { list: List { news, entries: self.entries() }, changed }
+        Update { list: List { kind, entries: self.entries() }, changed }
     }
 
     /// A start that was told for the first time is placed by its age; one that changed lies between the
@@ -224,6 +224,6 @@
             members.insert(Address { host: host.ip().octets(), port: host.port() }, member);
         }
         self.members = members;
-        Ok(List { news: ListNews::Cached, entries: self.entries() })
+        Ok(List { kind: ListKind::Cached, entries: self.entries() })
     }
 }
