--- a/reactor/src/lib.rs
+++ b/reactor/src/lib.rs
@@ -1,9 +1,10 @@
-//! Sockets, timers and one future on a single thread, without any other thread beside it.
+//! A single-threaded reactor for sockets and timers, and an executor for one future.
 //!
-//! Guards against a second thread that a pilot with part of a core has no use for: the reactor of `async-io`
-//! keeps one that wakes by itself a hundred times a second while the first one works, and takes turns with it
-//! at the start. Only what lives on one thread may wait here: whoever is woken from another thread is not
-//! heard.
+//! The reactor of `async-io` runs a second thread, which wakes up a hundred times per second while the main thread
+//! is busy and competes with it at startup. A pilot that has only part of a core can't afford that thread.
+//!
+//! Wakers work only on the thread that they were created on: waking a task from another thread does not
+//! interrupt the reactor's wait.
 
 mod timer;
 
@@ -27,45 +28,46 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Events taken at once; more wait for the next turn.
-const EVENTS: usize = 256;
+/// Maximum number of events per call of `epoll_wait`; further ones are returned by the next call.
+const MAX_EVENTS: usize = 256;
 
-/// One direction of a socket: whether something came since it was last tried, and who waits for that.
+/// Readiness of one direction of a socket, and the task that waits for it.
 #[derive(Default)]
-struct Side {
-    came: Cell<bool>,
-    waits: RefCell<Option<Waker>>,
+struct Direction {
+    /// An event has arrived since readiness was last reported.
+    ready: Cell<bool>,
+    waker: RefCell<Option<Waker>>,
 }
 
-impl Side {
-    fn comes(&self) {
-        self.came.set(true);
-        if let Some(waker) = self.waits.take() {
+impl Direction {
+    fn set_ready(&self) {
+        self.ready.set(true);
+        if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    /// Ready once something has come since it was ready last.
+    /// Ready once an event has arrived since this was last ready.
     fn poll(&self, context: &mut Context) -> Poll<()> {
-        if self.came.take() {
+        if self.ready.take() {
             return Poll::Ready(());
         }
-        self.waits.replace(Some(context.waker().clone()));
+        self.waker.replace(Some(context.waker().clone()));
         Poll::Pending
     }
 }
 
 #[derive(Default)]
-struct Sides {
-    read: Side,
-    write: Side,
+struct Source {
+    read: Direction,
+    write: Direction,
 }
 
 struct Reactor {
     epoll: OwnedFd,
-    next: Cell<u64>,
-    sources: RefCell<BTreeMap<u64, Rc<Sides>>>,
-    /// Who is to be woken, by the time and a number of their own.
+    next_id: Cell<u64>,
+    sources: RefCell<BTreeMap<u64, Rc<Source>>>,
+    /// The wakers of pending timers, by deadline and timer ID.
     timers: RefCell<BTreeMap<(Instant, u64), Waker>>,
 }
 
@@ -74,54 +76,54 @@
 }
 
 impl Reactor {
-    /// That of this thread.
-    fn here() -> io::Result<Rc<Reactor>> {
-        REACTOR.with_borrow_mut(|here| {
-            if here.is_none() {
-                *here = Some(Rc::new(Reactor {
+    /// Returns the reactor of this thread, creating it on the first call.
+    fn current() -> io::Result<Rc<Reactor>> {
+        REACTOR.with_borrow_mut(|current| {
+            if current.is_none() {
+                *current = Some(Rc::new(Reactor {
                     epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
-                    next: Cell::new(0),
+                    next_id: Cell::new(0),
                     sources: RefCell::default(),
                     timers: RefCell::default(),
                 }));
             }
-            Ok(here.clone().expect("it was put there"))
+            Ok(current.clone().expect("the reactor exists"))
         })
     }
 
-    fn number(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+    fn allocate_id(&self) -> u64 {
+        self.next_id.replace(self.next_id.get() + 1)
     }
 
-    /// How long nothing is due; none where nothing is ever.
-    fn idle_for(&self) -> Option<Duration> {
+    /// The time until the next timer expires, or `None` if no timer is pending.
+    fn time_to_next_timer(&self) -> Option<Duration> {
         let timers = self.timers.borrow();
         timers.first_key_value().map(|((at, _), _)| at.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until something comes or is due, and wakes those who wait for it.
-    fn turn(&self, at_once: bool) -> io::Result<()> {
-        let wait = if at_once { Some(Duration::ZERO) } else { self.idle_for() };
-        // Whole milliseconds, and no less than is asked for: what is due is so when it is waited for no more.
-        let wait = wait.map(|wait| {
-            let millis = wait.as_nanos().div_ceil(1_000_000).min(i32::MAX as u128) as i64;
+    /// Waits for events or the next timer, and wakes the tasks concerned. Does not block if `poll_only` is set.
+    fn turn(&self, poll_only: bool) -> io::Result<()> {
+        let timeout = if poll_only { Some(Duration::ZERO) } else { self.time_to_next_timer() };
+        // Rounded up to whole milliseconds, so that the timer has expired when the wait returns.
+        let timeout = timeout.map(|timeout| {
+            let millis = timeout.as_nanos().div_ceil(1_000_000).min(i32::MAX as u128) as i64;
             Timespec { tv_sec: millis / 1000, tv_nsec: millis % 1000 * 1_000_000 }
         });
-        let mut events = Vec::with_capacity(EVENTS);
-        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), wait.as_ref()) {
+        let mut events = Vec::with_capacity(MAX_EVENTS);
+        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), timeout.as_ref()) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
         for event in events {
-            let (flags, source) = (event.flags, event.data.u64());
-            // One that was let go since has nobody who waits.
-            let Some(sides) = self.sources.borrow().get(&source).cloned() else { continue };
-            let ends = EventFlags::HUP | EventFlags::ERR;
-            if flags.intersects(EventFlags::IN | EventFlags::RDHUP | ends) {
-                sides.read.comes();
+            let (flags, id) = (event.flags, event.data.u64());
+            // The source may have been dropped since.
+            let Some(source) = self.sources.borrow().get(&id).cloned() else { continue };
+            let closed = EventFlags::HUP | EventFlags::ERR;
+            if flags.intersects(EventFlags::IN | EventFlags::RDHUP | closed) {
+                source.read.set_ready();
             }
-            if flags.intersects(EventFlags::OUT | ends) {
-                sides.write.comes();
+            if flags.intersects(EventFlags::OUT | closed) {
+                source.write.set_ready();
             }
         }
         loop {
@@ -136,10 +138,10 @@
     }
 }
 
-/// Wakes the one future of [`block_on`].
-struct Woken(AtomicBool);
+/// The waker of the future that [`block_on`] runs: a flag that it has been woken.
+struct WakeFlag(AtomicBool);
 
-impl Wake for Woken {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.wake_by_ref();
     }
@@ -149,64 +151,64 @@
     }
 }
 
-/// Runs a future to its end on this thread. Errors: the system has no reactor to give, or takes it back.
+/// Runs a future to completion on this thread. Fails if `epoll` can't be created or fails.
 pub fn block_on<T>(future: impl Future<Output = T>) -> io::Result<T> {
-    let reactor = Reactor::here()?;
-    let woken = Arc::new(Woken(AtomicBool::new(true)));
+    let reactor = Reactor::current()?;
+    let woken = Arc::new(WakeFlag(AtomicBool::new(true)));
     let waker = Waker::from(woken.clone());
     let mut future = pin!(future);
     loop {
         if woken.0.swap(false, Ordering::Relaxed) {
-            if let Poll::Ready(done) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
-                return Ok(done);
+            if let Poll::Ready(output) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
+                return Ok(output);
             }
         }
         reactor.turn(woken.0.load(Ordering::Relaxed))?;
     }
 }
 
-/// A socket, or what is waited for like one.
+/// Asynchronous I/O on a socket or another file descriptor that `epoll` supports.
 pub struct Async<T: AsFd> {
     io: T,
-    number: u64,
-    sides: Rc<Sides>,
+    id: u64,
+    source: Rc<Source>,
     reactor: Rc<Reactor>,
 }
 
 impl<T: AsFd> Async<T> {
-    /// Takes it in; from then on it never blocks. Errors: the system has no room for it.
+    /// Sets a file descriptor to non-blocking mode and registers it with this thread's reactor.
     pub fn new(io: T) -> io::Result<Self> {
         rustix::io::ioctl_fionbio(&io, true)?;
-        let reactor = Reactor::here()?;
-        let (number, sides) = (reactor.number(), Rc::new(Sides::default()));
-        // Told once for each time that something comes: a side remembers it until it is tried.
+        let reactor = Reactor::current()?;
+        let (id, source) = (reactor.allocate_id(), Rc::new(Source::default()));
+        // Events are edge-triggered: `Direction` keeps the readiness until a task takes it.
         let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
-        epoll::add(&reactor.epoll, &io, EventData::new_u64(number), flags)?;
-        reactor.sources.borrow_mut().insert(number, sides.clone());
-        Ok(Async { io, number, sides, reactor })
+        epoll::add(&reactor.epoll, &io, EventData::new_u64(id), flags)?;
+        reactor.sources.borrow_mut().insert(id, source.clone());
+        Ok(Async { io, id, source, reactor })
     }
 
     pub fn get_ref(&self) -> &T {
         &self.io
     }
 
-    /// Waits until there may be something to read. One task at a time may wait for it.
+    /// Waits until the descriptor may be readable. Only one task at a time may wait.
     pub async fn readable(&self) {
-        poll_fn(|context| self.sides.read.poll(context)).await;
+        poll_fn(|context| self.source.read.poll(context)).await;
     }
 
-    /// Waits until there may be room to write. One task at a time may wait for it.
+    /// Waits until the descriptor may be writable. Only one task at a time may wait.
     pub async fn writable(&self) {
-        poll_fn(|context| self.sides.write.poll(context)).await;
+        poll_fn(|context| self.source.write.poll(context)).await;
     }
 
-    /// Tries until it need not wait any more.
-    pub async fn read_with<R>(&self, mut tried: impl FnMut(&T) -> io::Result<R>) -> io::Result<R> {
+    /// Calls `operation` until it does not fail with `WouldBlock`, waiting for readability in between.
+    pub async fn read_with<R>(&self, mut operation: impl FnMut(&T) -> io::Result<R>) -> io::Result<R> {
         loop {
-            match tried(&self.io) {
+            match operation(&self.io) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable().await,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                done => return done,
+                result => return result,
             }
         }
     }
@@ -214,14 +216,14 @@
 
 impl<T: AsFd> Drop for Async<T> {
     fn drop(&mut self) {
-        self.reactor.sources.borrow_mut().remove(&self.number);
-        // It may be closed by now, and is not waited for then either.
+        self.reactor.sources.borrow_mut().remove(&self.id);
+        // A descriptor that is closed already is no longer registered, so a failure is harmless.
         let _ = epoll::delete(&self.reactor.epoll, &self.io);
     }
 }
 
 impl Async<TcpStream> {
-    /// Dials, from a local address if one is named. Errors: no connection comes up.
+    /// Connects, from the local address `from` if one is given.
     pub async fn connect(to: SocketAddr, from: Option<SocketAddr>) -> io::Result<Self> {
         let family = if to.is_ipv4() { sys::AddressFamily::INET } else { sys::AddressFamily::INET6 };
         let flags = sys::SocketFlags::CLOEXEC | sys::SocketFlags::NONBLOCK;
@@ -248,19 +250,19 @@
     }
 
     fn poll_with<R>(
-        side: &Side,
+        direction: &Direction,
         context: &mut Context,
-        mut tried: impl FnMut() -> io::Result<R>,
+        mut operation: impl FnMut() -> io::Result<R>,
     ) -> Poll<io::Result<R>> {
         loop {
-            match tried() {
+            match operation() {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    if side.poll(context).is_pending() {
+                    if direction.poll(context).is_pending() {
                         return Poll::Pending;
                     }
                 }
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
@@ -268,13 +270,13 @@
 
 impl AsyncRead for Async<TcpStream> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        Self::poll_with(&self.sides.read, cx, || (&self.io).read(buf))
+        Self::poll_with(&self.source.read, cx, || (&self.io).read(buf))
     }
 }
 
 impl AsyncWrite for Async<TcpStream> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        Self::poll_with(&self.sides.write, cx, || (&self.io).write(buf))
+        Self::poll_with(&self.source.write, cx, || (&self.io).write(buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
--- a/reactor/src/timer.rs
+++ b/reactor/src/timer.rs
@@ -1,4 +1,4 @@
-//! Waits for a span of time.
+//! Timers of the reactor.
 
 use crate::Reactor;
 use std::future::Future;
@@ -6,17 +6,17 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Ready once its time has come.
+/// A future that completes at a deadline.
 pub struct Timer {
-    /// None where that is beyond what a clock can tell: never.
-    at: Option<Instant>,
-    /// Its place among those who wait.
-    number: Option<u64>,
+    /// `None` if the deadline is beyond the range of `Instant`; the timer then never completes.
+    deadline: Option<Instant>,
+    /// The ID under which the timer is registered with the reactor.
+    id: Option<u64>,
 }
 
 impl Timer {
-    pub fn after(span: Duration) -> Self {
-        Timer { at: Instant::now().checked_add(span), number: None }
+    pub fn after(duration: Duration) -> Self {
+        Timer { deadline: Instant::now().checked_add(duration), id: None }
     }
 }
 
@@ -24,22 +24,22 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<()> {
-        let Some(at) = self.at else { return Poll::Pending };
-        if at <= Instant::now() {
+        let Some(deadline) = self.deadline else { return Poll::Pending };
+        if deadline <= Instant::now() {
             return Poll::Ready(());
         }
-        // Without a reactor nothing on this thread ever runs, so nobody is kept waiting by it.
-        let Ok(reactor) = Reactor::here() else { return Poll::Pending };
-        let number = *self.number.get_or_insert_with(|| reactor.number());
-        reactor.timers.borrow_mut().insert((at, number), context.waker().clone());
+        // If the reactor can't be created, `block_on` fails as well, so no task waits for this timer.
+        let Ok(reactor) = Reactor::current() else { return Poll::Pending };
+        let id = *self.id.get_or_insert_with(|| reactor.allocate_id());
+        reactor.timers.borrow_mut().insert((deadline, id), context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Timer {
     fn drop(&mut self) {
-        if let (Some(at), Some(number), Ok(reactor)) = (self.at, self.number, Reactor::here()) {
-            reactor.timers.borrow_mut().remove(&(at, number));
+        if let (Some(deadline), Some(id), Ok(reactor)) = (self.deadline, self.id, Reactor::current()) {
+            reactor.timers.borrow_mut().remove(&(deadline, id));
         }
     }
 }
--- a/reactor/tests/waits.rs
+++ b/reactor/tests/waits.rs
@@ -1,4 +1,4 @@
-//! What is waited for comes, once for each time that it comes, and nothing else runs beside it.
+//! Timers, readiness of sockets and connecting on the single-threaded reactor.
 
 use async_executor::LocalExecutor;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -10,16 +10,16 @@
 
 fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let dialled = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (dialled, listener.accept().unwrap().0)
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (client, listener.accept().unwrap().0)
 }
 
 #[test]
-fn timers_come_in_their_order_and_those_let_go_do_not() {
+fn timers_complete_in_order_and_dropped_ones_do_not() {
     let order = block_on(async {
         let millis = |n| Timer::after(Duration::from_millis(n));
         let mut order = Vec::new();
-        // The longer one is let go as the shorter one comes.
+        // The longer timer is dropped when the shorter one completes.
         order.push(
             future::or(
                 async {
@@ -33,9 +33,9 @@
             )
             .await,
         );
-        let begun = Instant::now();
+        let start = Instant::now();
         millis(20).await;
-        assert!(begun.elapsed() >= Duration::from_millis(20));
+        assert!(start.elapsed() >= Duration::from_millis(20));
         order.push(
             future::or(
                 async {
@@ -54,23 +54,23 @@
     assert_eq!(order.unwrap(), [2, 4]);
 }
 
-/// Guards against a word that comes between a try to read and the wait for it, and against one that is told
-/// only once although it is only half read.
+/// Events are edge-triggered. Data that arrives between a failed read and the wait must wake the task, and so must
+/// data that an earlier read has left in the socket.
 #[test]
-fn nothing_that_comes_between_a_try_and_the_wait_is_lost() {
+fn data_that_arrives_between_a_read_and_the_wait_is_not_missed() {
     let (mut far, near) = pair();
     block_on(async {
         let near = Async::new(near).unwrap();
         let mut buffer = [0; 4];
         for n in 0..100_u32 {
-            let tried = near.get_ref().read(&mut buffer);
-            assert_eq!(tried.unwrap_err().kind(), ErrorKind::WouldBlock);
+            let result = near.get_ref().read(&mut buffer);
+            assert_eq!(result.unwrap_err().kind(), ErrorKind::WouldBlock);
             far.write_all(&n.to_be_bytes()).unwrap();
-            let (mut got, mut at) = ([0; 4], 0);
+            let (mut received, mut at) = ([0; 4], 0);
             while at < 4 {
-                at += near.read_with(|mut near| near.read(&mut got[at..=at])).await.unwrap();
+                at += near.read_with(|mut near| near.read(&mut received[at..=at])).await.unwrap();
             }
-            assert_eq!(u32::from_be_bytes(got), n);
+            assert_eq!(u32::from_be_bytes(received), n);
         }
         drop(far);
         assert_eq!(near.read_with(|mut near| near.read(&mut buffer)).await.unwrap(), 0);
@@ -78,16 +78,16 @@
     .unwrap();
 }
 
-/// More than any buffer holds goes both ways at once, by tasks that wait for one another.
+/// Two tasks on one thread exchange more data than socket buffers hold.
 #[test]
-fn both_sides_of_a_connection_are_waited_for_at_once() {
+fn two_tasks_exchange_more_than_the_socket_buffers() {
     const BYTES: usize = 8 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
     let executor = Rc::new(LocalExecutor::new());
     block_on(executor.run(async {
         let listener = Async::new(listener).unwrap();
-        let served = executor.spawn(async move {
+        let server = executor.spawn(async move {
             let (stream, _) = listener.read_with(|listener| listener.accept()).await.unwrap();
             let mut stream = Async::new(stream).unwrap();
             let mut all = vec![0; BYTES];
@@ -96,17 +96,17 @@
         });
         let mut stream = Async::<TcpStream>::connect(to, None).await.unwrap();
         stream.write_all(&vec![7; BYTES]).await.unwrap();
-        let mut back = vec![0; BYTES];
-        stream.read_exact(&mut back).await.unwrap();
-        assert!(back.iter().all(|byte| *byte == 7));
-        served.await;
+        let mut echoed = vec![0; BYTES];
+        stream.read_exact(&mut echoed).await.unwrap();
+        assert!(echoed.iter().all(|byte| *byte == 7));
+        server.await;
     }))
     .unwrap();
 }
 
 #[test]
-fn a_connection_that_is_refused_says_so() {
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let refused = block_on(Async::<TcpStream>::connect(nobody, None)).unwrap();
-    assert_eq!(refused.err().expect("nobody is there").kind(), ErrorKind::ConnectionRefused);
+fn a_refused_connection_fails() {
+    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let result = block_on(Async::<TcpStream>::connect(closed, None)).unwrap();
+    assert_eq!(result.err().expect("the port is closed").kind(), ErrorKind::ConnectionRefused);
 }
