--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -110,7 +110,7 @@
         if self.publisher.has_bound_proxies() || !(joined || self.turned_away() > turned_away) {
             return None;
         }
-        Some(match self.register.sizes() {
+        Some(match self.register.counts() {
             _ if !joined => "all who dial are sent away",
             _ if self.register.version.is_none() => "no list of servers was told",
             (0, _) => "the list of servers is empty",
@@ -178,7 +178,7 @@
 
     fn report(&mut self, message: Message, connection: Connection, role: Role, line: &[u8]) -> Reaction {
         match (message, role) {
-            (Message::ServerReport(met), Role::Collector(_)) => match self.register.address(&met.server) {
+            (Message::ServerReport(met), Role::Collector(_)) => match self.register.id(&met.server) {
                 None => self.counts.strange += 1,
                 Some(server) => {
                     self.counts.tries += met.tries;
--- a/pilot/src/platform/mod.rs
+++ b/pilot/src/platform/mod.rs
@@ -270,7 +270,7 @@
             (Some(_), None) if controller.serves() => tracing::info!("serves again"),
             _ => {}
         }
-        let (listed, remembered) = controller.register.sizes();
+        let (listed, remembered) = controller.register.counts();
         let (open, unjoined) = pilot.connections.sizes();
         tracing::info!(open, unjoined, listed, remembered, beliefs = ?controller.beliefs, counts = ?controller.counts, "so far");
     }
--- a/roster/src/document.rs
+++ b/roster/src/document.rs
@@ -1,7 +1,8 @@
-//! One document: `[{"targets": ["host:port"], "labels": {...}}]`, as Prometheus' HTTP and file service
-//! discovery publish it. Labels understood: `zone` (needed), `kind`, `weight`, `state` (`ready`,
-//! `draining`, `gone`), `started` (Unix time, s), `metrics` (host:port of its counters),
-//! `orca` (host:port of its load reports).
+//! Parser for documents in the format of Prometheus' HTTP and file service discovery:
+//! `[{"targets": ["host:port"], "labels": {...}}]`.
+//!
+//! Supported labels: `zone` (required), `kind`, `weight`, `state` (`ready`, `draining`, `gone`), `started` (Unix
+//! time in seconds), `metrics` (host:port of the server's counters), `orca` (host:port of its load reports).
 
 use oatlever::round::{Address, Readiness};
 use serde::Deserialize;
@@ -15,7 +16,7 @@
     labels: BTreeMap<String, String>,
 }
 
-/// A server as a document names it.
+/// A server in a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
     pub server: Address,
@@ -23,27 +24,28 @@
     pub kind: String,
     pub readiness: Readiness,
     pub weight: f64,
-    /// Unix time, s, on the clock of whoever wrote the document.
+    /// Unix time of its last start, in seconds, by the clock of the source.
     pub started: Option<f64>,
     pub metrics: Option<SocketAddrV4>,
     pub orca: Option<SocketAddrV4>,
 }
 
-/// How much of a document could be read.
+/// How much of a document could be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Completeness {
     Full,
-    /// These servers are named, with labels that make no sense: they are to stay what they were.
+    /// These servers have invalid labels, so their last known state applies.
     Except(BTreeSet<Address>),
-    /// Some targets can't even be told: nobody may be dropped by this document.
+    /// Some targets are not valid addresses, so a server that is missing may still be listed.
     Partial,
 }
 
+/// A parsed document.
 #[derive(Clone, Debug)]
 pub struct Document {
     pub servers: Vec<ServerEntry>,
     pub completeness: Completeness,
-    /// What is wrong and where, in words.
+    /// The errors of targets that can't be used, with their positions.
     pub errors: Vec<String>,
 }
 
@@ -57,7 +59,7 @@
         },
     };
     let zone = label("zone").ok_or("label zone is missing")?;
-    let place = zones.iter().position(|known| known == zone);
+    let zone_index = zones.iter().position(|known| known == zone);
     let readiness = match label("state").unwrap_or("ready") {
         "ready" => Readiness::Ready,
         "draining" => Readiness::Draining,
@@ -73,7 +75,7 @@
     };
     Ok(ServerEntry {
         server,
-        zone: place.ok_or_else(|| format!("label zone is {zone:?}, not a zone of the settings"))? as u16,
+        zone: zone_index.ok_or_else(|| format!("label zone is {zone:?}, not a zone of the settings"))? as u16,
         kind: label("kind").unwrap_or("").to_string(),
         readiness,
         weight: number("weight")?.filter(|weight| *weight > 0.0).unwrap_or(1.0),
@@ -84,39 +86,39 @@
 }
 
 impl Document {
-    /// Reads a document. Errors: it is none, or was cut off.
+    /// Parses a document. Fails if it is not a complete list.
     pub fn parse(bytes: &[u8], zones: &[String]) -> Result<Document, String> {
         let groups: Vec<Group> = serde_json::from_slice(bytes).map_err(|e| format!("not a list: {e}"))?;
         let mut found: BTreeMap<Address, ServerEntry> = BTreeMap::new();
-        let (mut odd, mut lost, mut errors) = (BTreeSet::new(), false, Vec::new());
+        let (mut invalid, mut partial, mut errors) = (BTreeSet::new(), false, Vec::new());
         for (n, group) in groups.iter().enumerate() {
             for (k, target) in group.targets.iter().enumerate() {
                 let at = format!("/{n}/targets/{k}");
                 let Ok(host) = target.parse::<SocketAddrV4>() else {
                     errors.push(format!("{at}: {target:?} is not an IPv4 address:port"));
-                    lost = true;
+                    partial = true;
                     continue;
                 };
                 let server = Address { host: host.ip().octets(), port: host.port() };
                 match entry(group, server, zones) {
-                    Err(what) => {
-                        errors.push(format!("{at}: {target}: {what}"));
-                        odd.insert(server);
+                    Err(error) => {
+                        errors.push(format!("{at}: {target}: {error}"));
+                        invalid.insert(server);
                     }
                     Ok(listed) => match found.get(&server) {
                         Some(other) if *other != listed => {
-                            errors.push(format!("{at}: {target} is listed twice, differently"));
-                            odd.insert(server);
+                            errors.push(format!("{at}: {target} is listed twice with different labels"));
+                            invalid.insert(server);
                         }
                         _ => drop(found.insert(server, listed)),
                     },
                 }
             }
         }
-        found.retain(|server, _| !odd.contains(server));
+        found.retain(|server, _| !invalid.contains(server));
         let completeness = match () {
-            () if lost => Completeness::Partial,
-            () if !odd.is_empty() => Completeness::Except(odd),
+            () if partial => Completeness::Partial,
+            () if !invalid.is_empty() => Completeness::Except(invalid),
             () => Completeness::Full,
         };
         Ok(Document { servers: found.into_values().collect(), completeness, errors })
--- a/roster/src/platform.rs
+++ b/roster/src/platform.rs
@@ -1,7 +1,9 @@
-//! The list of the operators' platform: documents, who is listed under which name, and its watch.
+//! The server list of the operators' platform: its documents, a registry of the listed servers, and a client that
+//! watches the list.
 //!
-//! Servers have names there that stay the same for all pilots, and an address that is this pilot's alone.
-//! The decisions know servers by short numbers in the form of an address, which [`ServerRegistry`] gives out.
+//! The platform gives each server a name, which is the same for all pilots, and an address, which may differ
+//! between pilots. The decision logic identifies servers by short IDs in the form of an [`Address`], which
+//! [`ServerRegistry`] allocates.
 
 use oatlever::round::{Address, Entry, List, ListKind, Readiness};
 use oatlever_fetch::{self as fetch, SingleThreaded};
@@ -11,14 +13,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bytes; no name of a server is longer.
-const LONGEST_NAME: usize = 256;
-/// Servers remembered after they were removed: reports of them still come, and tables may name them. Past
-/// this the longest gone are forgotten, as new ones come with new names for as long as a pilot lives.
-const REMEMBERED: usize = 512;
-/// Bytes; a document is no longer: a list of tens of thousands of servers fits.
-const LONGEST_DOCUMENT: usize = 8 << 20;
-/// Where the list is.
+/// Maximum length of a server's name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Maximum number of removed servers that stay known, as reports may still arrive for them and tables may still
+/// contain them. Beyond it, those removed first are dropped: new servers come with new names, so without a limit
+/// the registry would grow for as long as the pilot runs.
+const MAX_REMOVED: usize = 512;
+/// Maximum size of a document, in bytes. A list of tens of thousands of servers fits.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
+/// The path of the list on the platform's discovery service.
 const PATH: &str = "/v1/endpoints";
 
 /// One server of a document.
@@ -30,24 +33,24 @@
     pub kind: String,
     pub readiness: Readiness,
     pub weight: f64,
-    /// Unix time, s, of its last start; 0 means long ago.
+    /// Unix time of its last start, in seconds; 0 means long ago.
     pub started: f64,
 }
 
-/// The list, or what changed in it.
+/// The whole list, or the changes since an earlier version.
 #[derive(Clone, Debug)]
 pub struct PlatformDocument {
     pub version: u64,
     pub full: bool,
     pub servers: Vec<ListedServer>,
-    /// What could not be used, by its place.
+    /// The errors of entries that can't be used, with their positions.
     pub errors: Vec<String>,
-    /// Servers that those entries name, where they do.
+    /// The names of servers whose entries can't be used, as far as the entries have a name.
     pub unreadable: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct WireDocument {
     version: u64,
     full: bool,
     servers: Vec<Value>,
@@ -77,42 +80,42 @@
     };
     let zone = zones.iter().position(|zone| *zone == wire.zone);
     let zone = zone.ok_or_else(|| format!("zone {:?} is not in the settings", wire.zone))? as u16;
-    if wire.id.is_empty() || wire.id.len() > LONGEST_NAME {
-        return Err(format!("an id of {} bytes", wire.id.len()));
+    if wire.id.is_empty() || wire.id.len() > MAX_NAME_BYTES {
+        return Err(format!("id has {} bytes, not 1 to {MAX_NAME_BYTES}", wire.id.len()));
     }
     let (weight, started) = (wire.weight, wire.started_ms / 1000.0);
     if weight < 0.0 || started < 0.0 {
-        return Err("a weight or a start below 0".to_string());
+        return Err("weight or started_ms is below 0".to_string());
     }
     Ok(ListedServer { name: wire.id, host: wire.addr, zone, kind: wire.kind, readiness, weight, started })
 }
 
 impl PlatformDocument {
-    /// A list of nothing that is older than any other.
+    /// An empty list that is older than any other.
     pub fn empty() -> Self {
         let (servers, errors, unreadable) = (Vec::new(), Vec::new(), Vec::new());
         PlatformDocument { version: 0, full: true, servers, errors, unreadable }
     }
 
-    /// Reads a document. Errors: it is none. Servers that can't be used are left out and told.
-    pub fn read(bytes: &[u8], zones: &[String]) -> Result<Self, String> {
-        let wire: Wire = serde_json::from_slice(bytes).map_err(|e| format!("not a list: {e}"))?;
-        Ok(Self::of(wire, zones))
+    /// Parses a document. Entries that can't be used are skipped and recorded in `errors`.
+    pub fn parse(bytes: &[u8], zones: &[String]) -> Result<Self, String> {
+        let wire: WireDocument = serde_json::from_slice(bytes).map_err(|e| format!("not a list: {e}"))?;
+        Ok(Self::from_wire(wire, zones))
     }
 
-    /// The same from a value, as the configuration of a pilot holds it.
+    /// Like [`PlatformDocument::parse`], for a list that is embedded in the configuration of a pilot.
     pub fn from_value(value: &Value, zones: &[String]) -> Result<Self, String> {
-        let wire = Wire::deserialize(value).map_err(|e| format!("not a list: {e}"))?;
-        Ok(Self::of(wire, zones))
+        let wire = WireDocument::deserialize(value).map_err(|e| format!("not a list: {e}"))?;
+        Ok(Self::from_wire(wire, zones))
     }
 
-    fn of(wire: Wire, zones: &[String]) -> Self {
+    fn from_wire(wire: WireDocument, zones: &[String]) -> Self {
         let (mut servers, mut errors, mut unreadable) = (Vec::new(), Vec::new(), Vec::new());
         for (n, value) in wire.servers.iter().enumerate() {
             match server(value, zones) {
                 Ok(server) => servers.push(server),
-                Err(what) => {
-                    errors.push(format!("/servers/{n}: {what}"));
+                Err(error) => {
+                    errors.push(format!("/servers/{n}: {error}"));
                     unreadable.extend(value["id"].as_str().map(str::to_string));
                 }
             }
@@ -122,10 +125,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownServer {
     name: Rc<str>,
     host: SocketAddr,
-    /// What was last told of it.
+    /// The entry of the last list that named the server.
     entry: Entry,
 }
 
@@ -134,70 +137,71 @@
 pub enum Origin {
     /// The list that a pilot starts with.
     Cached,
+    /// The discovery service.
     Update,
-    /// Told by a source whose versions have started anew, so that they compare with none that are held.
+    /// A discovery service whose versions have restarted, so that they can't be compared with the current version.
     VersionReset,
 }
 
-/// Which server is which: names of the platform, numbers of the decisions.
+/// Maps the platform's server names to the IDs that the decision logic uses.
 #[derive(Debug, Default)]
 pub struct ServerRegistry {
-    numbers: HashMap<Rc<str>, Address>,
-    known: BTreeMap<Address, Known>,
+    ids: HashMap<Rc<str>, Address>,
+    known: BTreeMap<Address, KnownServer>,
+    /// Listed servers; false only while a document is applied that does not list the server any more.
     listed: BTreeMap<Address, bool>,
-    /// Those not listed any more, the longest gone first.
+    /// Servers that are not listed any more, in the order of their removal.
     removed: VecDeque<Address>,
     kinds: Vec<String>,
-    next: u32,
-    /// The version of the list that is held; none before the first.
+    next_id: u32,
+    /// The version of the current list; `None` before the first list.
     pub version: Option<u64>,
 }
 
 impl ServerRegistry {
-    /// Takes in a document and tells what it means to the decisions. Errors: it is older than what is held,
-    /// or nothing in it can be used; what is held stays.
+    /// Applies a document and returns the list to pass to the decision logic.
     ///
-    /// Guards against a source that lags behind, as one that a pilot is moved to: servers that drain or
-    /// are removed would be taken for open ones.
+    /// Fails without a change if the document is older than the current list or contains no usable entry. A pilot
+    /// may be moved to a discovery service that lags behind; without this check, servers that are draining or
+    /// removed would be considered ready.
     ///
-    /// In a whole list, a server whose entry can't be used stays as it was told last, and one that is not
-    /// there is gone. Guards against one odd entry that keeps all removed servers listed, or that drops the
-    /// server it speaks of.
+    /// In a full list, a server whose entry can't be used keeps its last state, and a server without an entry is
+    /// gone. So an invalid entry neither keeps removed servers listed nor drops its own server.
     pub fn apply(&mut self, document: &PlatformDocument, origin: Origin) -> Result<List, String> {
         if let Some(held) = self.version.filter(|_| self.is_older(document) && origin != Origin::VersionReset)
         {
-            return Err(format!("version {} is older than {held}, which is held", document.version));
+            return Err(format!("version {} is older than the current version {held}", document.version));
         }
         if let Some(first) = document.errors.first().filter(|_| document.servers.is_empty()) {
-            return Err(format!("version {}: nothing in it can be used: {first}", document.version));
+            return Err(format!("version {} contains no usable server: {first}", document.version));
         }
-        let whole = document.full;
+        let full = document.full;
         let mut servers = document.servers.clone();
         if origin == Origin::VersionReset {
-            servers.iter_mut().for_each(|server| server.readiness = self.readiness_anew(server));
+            servers.iter_mut().for_each(|server| server.readiness = self.readiness_after_reset(server));
         }
         let mut entries = Vec::new();
-        if whole {
+        if full {
             for (_, listed) in self.listed.iter_mut() {
                 *listed = false;
             }
             for name in &document.unreadable {
-                let Some(number) = self.address(name) else { continue };
-                if let Some(listed) = self.listed.get_mut(&number) {
+                let Some(id) = self.id(name) else { continue };
+                if let Some(listed) = self.listed.get_mut(&id) {
                     *listed = true;
-                    entries.extend(self.known.get(&number).map(|known| known.entry.clone()));
+                    entries.extend(self.known.get(&id).map(|known| known.entry.clone()));
                 }
             }
         }
         entries.extend(servers.iter().map(|server| self.entry(server)));
         let gone: Vec<Address> = self.listed.extract_if(.., |_, listed| !*listed).map(|(a, _)| a).collect();
         self.removed.extend(gone);
-        while self.removed.len() > REMEMBERED {
-            let forgotten = self.removed.pop_front().and_then(|old| self.known.remove(&old));
-            forgotten.map(|known| self.numbers.remove(&known.name));
+        while self.removed.len() > MAX_REMOVED {
+            let dropped = self.removed.pop_front().and_then(|oldest| self.known.remove(&oldest));
+            dropped.map(|known| self.ids.remove(&known.name));
         }
         self.version = Some(document.version);
-        let kind = match (whole, origin) {
+        let kind = match (full, origin) {
             (true, Origin::Cached) => ListKind::Cached,
             (true, _) => ListKind::Full,
             (false, _) => ListKind::Changes,
@@ -205,21 +209,19 @@
         Ok(List { kind, entries })
     }
 
-    /// Whether a document has an older version than what is held.
+    /// Whether a document is older than the current list.
     pub fn is_older(&self, document: &PlatformDocument) -> bool {
         self.version.is_some_and(|held| document.version < held)
     }
 
-    /// What a list of another count of versions says of a server, which may be older than what is held: one
-    /// that drained or went opens again only where it has restarted since.
-    fn readiness_anew(&self, server: &ListedServer) -> Readiness {
-        let number = self.address(&server.name);
-        let held = number.and_then(|number| Some((number, &self.known.get(&number)?.entry)));
-        match held {
-            Some((number, entry))
-                if entry.started == server.started && server.readiness == Readiness::Ready =>
-            {
-                if self.listed.contains_key(&number) {
+    /// The readiness of a server in a list whose versions have restarted. The list may be older than the current
+    /// one, so a server that was draining or removed is ready again only if it has restarted since.
+    fn readiness_after_reset(&self, server: &ListedServer) -> Readiness {
+        let id = self.id(&server.name);
+        let current = id.and_then(|id| Some((id, &self.known.get(&id)?.entry)));
+        match current {
+            Some((id, entry)) if entry.started == server.started && server.readiness == Readiness::Ready => {
+                if self.listed.contains_key(&id) {
                     entry.readiness
                 } else {
                     Readiness::Gone
@@ -229,18 +231,19 @@
         }
     }
 
+    /// Records a listed server, allocating an ID if it is new, and returns its entry.
     fn entry(&mut self, server: &ListedServer) -> Entry {
         let name: Rc<str> = server.name.as_str().into();
-        let next = &mut self.next;
-        let number = *self.numbers.entry(name.clone()).or_insert_with(|| {
-            *next = next.wrapping_add(1);
-            Address { host: next.to_be_bytes(), port: 0 }
+        let next_id = &mut self.next_id;
+        let id = *self.ids.entry(name.clone()).or_insert_with(|| {
+            *next_id = next_id.wrapping_add(1);
+            Address { host: next_id.to_be_bytes(), port: 0 }
         });
         let listed = server.readiness != Readiness::Gone;
-        if listed && self.listed.insert(number, true).is_none() {
-            self.removed.retain(|old| *old != number);
+        if listed && self.listed.insert(id, true).is_none() {
+            self.removed.retain(|removed| *removed != id);
         } else if !listed {
-            self.listed.entry(number).and_modify(|listed| *listed = false);
+            self.listed.entry(id).and_modify(|listed| *listed = false);
         }
         let kind = self.kinds.iter().position(|kind| *kind == server.kind).unwrap_or_else(|| {
             if self.kinds.len() < usize::from(u8::MAX) {
@@ -249,98 +252,99 @@
             self.kinds.len() - 1
         });
         let entry = Entry {
-            server: number,
+            server: id,
             zone: server.zone,
             kind: kind as u8,
             readiness: server.readiness,
             weight: server.weight,
             started: server.started,
         };
-        self.known.insert(number, Known { name, host: server.host, entry: entry.clone() });
+        self.known.insert(id, KnownServer { name, host: server.host, entry: entry.clone() });
         entry
     }
 
-    /// The number of a server by its name; none where no list has named it lately.
-    pub fn address(&self, name: &str) -> Option<Address> {
-        self.numbers.get(name).copied()
+    /// The ID of a listed or recently removed server.
+    pub fn id(&self, name: &str) -> Option<Address> {
+        self.ids.get(name).copied()
     }
 
     pub fn name(&self, server: Address) -> Option<Rc<str>> {
         self.known.get(&server).map(|known| known.name.clone())
     }
 
-    /// Where a server that is listed listens, as far as this pilot is told, and when it started.
+    /// The address and start time of a listed server.
     pub fn process(&self, server: Address) -> Option<(SocketAddr, f64)> {
         let known = self.known.get(&server).filter(|_| self.listed.contains_key(&server))?;
         Some((known.host, known.entry.started))
     }
 
-    /// Servers listed now, and those remembered besides.
-    pub fn sizes(&self) -> (usize, usize) {
+    /// The numbers of listed servers and of removed ones that are still known.
+    pub fn counts(&self) -> (usize, usize) {
         (self.listed.len(), self.removed.len())
     }
 }
 
-/// Why an answer is of no use.
+/// A poll of the list failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchError {
     pub message: String,
-    /// The source has answered, but not what was asked for.
+    /// The discovery service answered, but not with a usable document.
     pub answered: bool,
 }
 
-/// Asks for the list, one call after the other on one connection for as long as that lasts.
+/// A client of the discovery service, which reuses one connection for as long as it stays open.
 #[derive(Default)]
 pub struct Watch {
-    kept: Option<fetch::Connection>,
+    connection: Option<fetch::Connection>,
 }
 
 impl Watch {
-    /// Asks for all of the list, or, after a version, for what is newer, waiting up to `wait` seconds for
-    /// something to tell. May be given up on under way. Errors: no answer within `patience` seconds more, or
-    /// one that is no list.
+    /// Requests the full list, or the changes after version `after`, for which the service may wait up to `wait`
+    /// seconds. Cancel-safe: the future may be dropped at any time.
+    ///
+    /// Fails if there is no answer within `timeout` seconds on top of `wait`, or if the answer is not a valid list.
     pub async fn poll(
         &mut self,
         host: SocketAddr,
         after: Option<u64>,
         zones: &[String],
-        (wait, patience): (f64, f64),
+        (wait, timeout): (f64, f64),
     ) -> Result<PlatformDocument, WatchError> {
         let (path, wait) = match after {
             None => (PATH.to_string(), 0.0),
             Some(version) => (format!("{PATH}?index={version}&wait={}", (wait * 1000.0) as u64), wait),
         };
-        // Taken out, so that a call which is given up on under way leaves nothing behind.
-        let kept = self.kept.take().filter(|kept| kept.host() == host);
-        let asked = async {
-            if let Some(mut kept) = kept {
-                // Whoever listens there may have ended it meanwhile; then it is dialled anew, once.
-                match kept.get(&path, false, LONGEST_DOCUMENT).await {
+        // Taken out, so that a request that is cancelled does not leave a connection in use behind.
+        let connection = self.connection.take().filter(|connection| connection.host() == host);
+        let request = async {
+            if let Some(mut connection) = connection {
+                // The service may have closed the idle connection; then the request is repeated on a new one.
+                match connection.get(&path, false, MAX_DOCUMENT_BYTES).await {
                     Err(fetch::Error::Broken(_)) => {}
-                    other => return other.map(|answer| (kept, answer)),
+                    other => return other.map(|answer| (connection, answer)),
                 }
             }
-            // Guards against a silent machine that takes the whole wait before a word is said.
-            let mut fresh = fetch::with_timeout::<SingleThreaded, _>(
-                patience,
+            // Connecting has the shorter timeout, so that an unreachable machine does not take the whole wait.
+            let mut connection = fetch::with_timeout::<SingleThreaded, _>(
+                timeout,
                 fetch::Connection::connect::<SingleThreaded>(host, None),
             )
             .await?;
-            let answer = fresh.get(&path, false, LONGEST_DOCUMENT).await?;
-            Ok((fresh, answer))
+            let answer = connection.get(&path, false, MAX_DOCUMENT_BYTES).await?;
+            Ok((connection, answer))
         };
-        let got = fetch::with_timeout::<SingleThreaded, _>(wait + patience, asked).await;
-        let missed =
-            |answered: bool, what: String| WatchError { message: format!("{host}: {what}"), answered };
-        let (kept, answer) = got.map_err(|e| missed(false, e.to_string()))?;
+        let result = fetch::with_timeout::<SingleThreaded, _>(wait + timeout, request).await;
+        let error =
+            |answered: bool, cause: String| WatchError { message: format!("{host}: {cause}"), answered };
+        let (connection, answer) = result.map_err(|e| error(false, e.to_string()))?;
         if answer.status != 200 {
-            return Err(missed(true, format!("status {}", answer.status)));
+            return Err(error(true, format!("status {}", answer.status)));
         }
-        let document = PlatformDocument::read(&answer.body, zones).map_err(|e| missed(true, e))?;
+        let document = PlatformDocument::parse(&answer.body, zones).map_err(|e| error(true, e))?;
         if after.is_none() && !document.full {
-            return Err(missed(true, "changes where the whole list was asked for".to_string()));
+            return Err(error(true, "got changes instead of the full list".to_string()));
         }
-        self.kept = Some(kept);
+        self.connection = Some(connection);
         Ok(document)
     }
 }
--- a/roster/src/reader.rs
+++ b/roster/src/reader.rs
@@ -1,4 +1,4 @@
-//! Fetches documents, once a period, and keeps the last good list.
+//! Polls a source of documents and stores the last valid list in a file.
 
 use crate::document::Document;
 use crate::server_list::BootTime;
@@ -15,7 +15,7 @@
 }
 
 impl Source {
-    /// `http://address:port/path` or `file:///path`; none where the text is neither.
+    /// Parses `http://address:port/path` or `file:///path`. Returns `None` for anything else.
     pub fn parse(text: &str) -> Option<Source> {
         match text.strip_prefix("file://") {
             Some(path) => Some(Source::File(path.into())),
@@ -23,38 +23,38 @@
         }
     }
 
-    /// The document's bytes, and the writer's Unix time, s, as it sent them.
-    async fn read(&self, patience: f64, most: usize) -> Result<(Vec<u8>, Option<f64>), String> {
+    /// Reads the document. Also returns the Unix time in seconds, by the clock of the source, at which it was sent.
+    async fn read(&self, timeout: f64, max_bytes: usize) -> Result<(Vec<u8>, Option<f64>), String> {
         let unix = |time: SystemTime| time.duration_since(UNIX_EPOCH).ok().map(|t| t.as_secs_f64());
         match self {
-            Source::Http(place) => {
-                let got = fetch::get::<fetch::AsyncIo>(place, None, patience, most)
+            Source::Http(url) => {
+                let answer = fetch::get::<fetch::AsyncIo>(url, None, timeout, max_bytes)
                     .await
                     .map_err(|e| e.to_string())?;
-                if got.status != 200 {
-                    return Err(format!("status {}", got.status));
+                if answer.status != 200 {
+                    return Err(format!("status {}", answer.status));
                 }
-                let date = got.date.and_then(|date| httpdate::parse_http_date(&date).ok());
-                Ok((got.body, date.and_then(unix)))
+                let date = answer.date.and_then(|date| httpdate::parse_http_date(&date).ok());
+                Ok((answer.body, date.and_then(unix)))
             }
             Source::File(path) => {
-                let told = |e: std::io::Error| format!("{}: {e}", path.display());
-                let size = std::fs::metadata(path).map_err(told)?.len();
-                if size > most as u64 {
-                    return Err(format!("{}: {size} bytes, more than {most}", path.display()));
+                let error = |e: std::io::Error| format!("{}: {e}", path.display());
+                let size = std::fs::metadata(path).map_err(error)?.len();
+                if size > max_bytes as u64 {
+                    return Err(format!("{}: {size} bytes, more than {max_bytes}", path.display()));
                 }
-                Ok((std::fs::read(path).map_err(told)?, unix(SystemTime::now())))
+                Ok((std::fs::read(path).map_err(error)?, unix(SystemTime::now())))
             }
         }
     }
 }
 
-/// The file that keeps the last good list.
+/// The file that stores the last valid list.
 #[derive(Clone, Debug)]
 pub struct Cache(pub PathBuf);
 
 impl BootTime {
-    /// Now; none where the system does not tell.
+    /// The current time, or `None` if the system does not provide a boot ID.
     pub fn now() -> Option<BootTime> {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
         let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
@@ -68,32 +68,32 @@
         std::fs::read_to_string(&self.0)
     }
 
-    /// Replaces the file as a whole: a crash leaves the old one or the new one.
+    /// Replaces the file atomically: after a crash it holds either the old or the new list.
     pub fn save(&self, text: &str) -> std::io::Result<()> {
-        let fresh = self.0.with_extension("new");
-        let mut file = std::fs::File::create(&fresh)?;
+        let temporary = self.0.with_extension("new");
+        let mut file = std::fs::File::create(&temporary)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
-        std::fs::rename(&fresh, &self.0)?;
+        std::fs::rename(&temporary, &self.0)?;
         let folder = self.0.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
         std::fs::File::open(folder)?.sync_all()
     }
 }
 
-/// Reads the source once a period for ever and hands on each document, or why there is none.
+/// Reads the source once per period, forever, and passes each document or error to `sink`.
 pub async fn poll(
     source: Source,
     zones: Vec<String>,
-    (period, patience): (f64, f64),
-    most_bytes: usize,
+    (period, timeout): (f64, f64),
+    max_bytes: usize,
     mut sink: impl FnMut(Result<(Document, Option<f64>), String>),
 ) {
     loop {
-        let begun = Instant::now();
-        let read = source.read(patience, most_bytes).await;
+        let start = Instant::now();
+        let read = source.read(timeout, max_bytes).await;
         sink(
             read.and_then(|(bytes, clock)| Document::parse(&bytes, &zones).map(|document| (document, clock))),
         );
-        async_io::Timer::at(begun + Duration::from_secs_f64(period)).await;
+        async_io::Timer::at(start + Duration::from_secs_f64(period)).await;
     }
 }
--- a/roster/src/server_list.rs
+++ b/roster/src/server_list.rs
@@ -1,8 +1,8 @@
-//! Who is listed, and since when each server runs, on the pilot's own clock.
+//! The listed servers, and the start time of each on the pilot's clock.
 //!
-//! Documents state starts in wall time, which may step. Nothing here goes by the pilot's wall clock: a
-//! start is placed once, by its age on the clock of whoever wrote the document, and kept as long as its
-//! label stays the same.
+//! Documents state start times as wall-clock time, which may step. The pilot's own wall clock is not used: a start
+//! time is converted once, by the server's age on the clock of the document's source, and kept for as long as the
+//! `started` label does not change.
 
 use crate::document::{Completeness, Document, ServerEntry};
 use oatlever::round::{Address, Entry, List, ListKind, Readiness};
@@ -10,55 +10,55 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// A server that some list named.
+/// A server that is or was listed.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub zone: u16,
     pub kind: u8,
     pub readiness: Readiness,
     pub weight: f64,
-    /// Its label, as written.
+    /// The value of the `started` label.
     label: Option<f64>,
-    /// s, on the pilot's clock; 0 means long ago.
+    /// Start time in seconds on the pilot's clock; 0 means long ago.
     pub started: f64,
     pub metrics: Option<SocketAddrV4>,
     pub orca: Option<SocketAddrV4>,
-    /// When a list last named it.
-    seen: f64,
+    /// When a list last contained it.
+    last_listed: f64,
 }
 
 impl Member {
-    /// All that a list says of it.
-    fn facts(&self) -> (u16, u8, Readiness, u64, u64, [Option<SocketAddrV4>; 2]) {
-        let places = [self.metrics, self.orca];
-        (self.zone, self.kind, self.readiness, self.weight.to_bits(), self.started.to_bits(), places)
+    /// The listed properties, for comparison.
+    fn properties(&self) -> (u16, u8, Readiness, u64, u64, [Option<SocketAddrV4>; 2]) {
+        let endpoints = [self.metrics, self.orca];
+        (self.zone, self.kind, self.readiness, self.weight.to_bits(), self.started.to_bits(), endpoints)
     }
 }
 
-/// What a document means.
+/// The result of applying a document.
 #[derive(Clone, Debug)]
 pub struct Update {
     pub list: List,
-    /// It says something else than was known.
+    /// The document changed the list.
     pub changed: bool,
 }
 
-/// A moment that outlives the process: seconds since this machine's boot, and which boot it was. No step
-/// of the wall's clock moves it.
+/// A time that stays meaningful across restarts of the process: seconds since the machine's boot, and the ID of
+/// that boot. Steps of the wall clock do not affect it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BootTime {
     pub boot: String,
     pub seconds: f64,
 }
 
-/// The list as it is kept for the next start.
+/// The list as stored for the next start.
 #[derive(Serialize, Deserialize)]
 struct SavedList {
     kept_at: Option<BootTime>,
     servers: Vec<SavedServer>,
 }
 
-/// A member as it is kept: its age instead of a time.
+/// A member as stored, with its age instead of its start time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SavedServer {
     server: String,
@@ -67,35 +67,36 @@
     draining: bool,
     weight: f64,
     label: Option<f64>,
-    /// s since its start when it was written; none means long ago.
+    /// Seconds since its start when the list was stored; `None` means long ago.
     age: Option<f64>,
     metrics: Option<SocketAddrV4>,
     #[serde(default)]
     orca: Option<SocketAddrV4>,
 }
 
-/// Servers remembered after the list dropped them; past this the longest gone are forgotten.
-const DROPPED: usize = 20_000;
+/// Maximum number of dropped servers that stay known. Beyond it, those that were listed longest ago are removed.
+const MAX_DROPPED: usize = 20_000;
 
+/// The listed servers, and those that were dropped from the list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     members: BTreeMap<Address, Member>,
-    /// Those that the list does not name any more.
+    /// Servers that are not listed any more.
     ///
-    /// Guards against a list that errs: what is dropped may serve on, and reports of it must find it
-    /// known, or it would be taken for silent. One that comes back is the same server, not a new one.
+    /// The list may be wrong, and a dropped server may go on serving. If its reports were discarded as those of an
+    /// unknown server, it would be considered silent. A server that is listed again keeps its start time.
     dropped: BTreeMap<Address, Member>,
     kinds: Vec<String>,
 }
 
 impl ServerList {
-    /// Takes in a document and tells what it means. `clock` is the writer's Unix time, s, as it sent the
-    /// document; `now` the pilot's. A document that could not be read whole drops nobody.
+    /// Applies a document at `now`, the pilot's time. `clock` is the Unix time in seconds at which the source sent
+    /// the document, by the source's clock. A document that is only partially readable drops no server.
     pub fn apply(&mut self, document: &Document, now: f64, clock: Option<f64>) -> Update {
         let (mut changed, before) = (false, self.members.len());
         for listed in &document.servers {
-            let started = self.start_of(listed, now, clock);
-            let kind = self.kind_of(&listed.kind);
+            let started = self.start_time(listed, now, clock);
+            let kind = self.kind_number(&listed.kind);
             let member = Member {
                 zone: listed.zone,
                 kind,
@@ -105,22 +106,26 @@
                 started,
                 metrics: listed.metrics,
                 orca: listed.orca,
-                seen: now,
+                last_listed: now,
             };
-            let fresh = member.facts();
+            let properties = member.properties();
             self.dropped.remove(&listed.server);
-            changed |= self.members.insert(listed.server, member).is_none_or(|old| old.facts() != fresh);
+            let old = self.members.insert(listed.server, member);
+            changed |= old.is_none_or(|old| old.properties() != properties);
         }
         let with_new = self.members.len();
         let named = |server: &Address| document.servers.binary_search_by(|l| l.server.cmp(server)).is_ok();
         let stays = |server: &Address| match &document.completeness {
             Completeness::Partial => true,
             Completeness::Full => named(server),
-            Completeness::Except(odd) => named(server) || odd.contains(server),
+            Completeness::Except(invalid) => named(server) || invalid.contains(server),
         };
         self.dropped.extend(self.members.extract_if(.., |server, _| !stays(server)));
-        while self.dropped.len() > DROPPED {
-            let oldest = self.dropped.iter().min_by(|a, b| a.1.seen.total_cmp(&b.1.seen)).map(|(s, _)| *s);
+        while self.dropped.len() > MAX_DROPPED {
+            let by_last_listed = |a: &(&Address, &Member), b: &(&Address, &Member)| {
+                a.1.last_listed.total_cmp(&b.1.last_listed)
+            };
+            let oldest = self.dropped.iter().min_by(by_last_listed).map(|(server, _)| *server);
             oldest.map(|server| self.dropped.remove(&server));
         }
         let kind =
@@ -129,28 +134,32 @@
         Update { list: List { kind, entries: self.entries() }, changed }
     }
 
-    /// A start that was told for the first time is placed by its age; one that changed lies between the
-    /// last list that told the old one and now. Without a clock to go by, what is new is as cold as can be.
-    fn start_of(&self, listed: &ServerEntry, now: f64, clock: Option<f64>) -> f64 {
+    /// Converts the `started` label to the pilot's clock.
+    ///
+    /// A label that is new is converted by its age. One that changed lies between the last list with the old value
+    /// and now. Without a clock of the source, a new server counts as started now, which makes it as cold as
+    /// possible.
+    fn start_time(&self, listed: &ServerEntry, now: f64, clock: Option<f64>) -> f64 {
         let known = self.get(&listed.server);
         let Some(label) = listed.started else { return known.map_or(0.0, |m| m.started) };
         if let Some(same) = known.filter(|m| m.label == Some(label)) {
             return same.started;
         }
         let age = clock.map_or(0.0, |clock| (clock - label).max(0.0));
-        let least = known.map_or(0.0, |m| m.seen);
-        (now - age).max(least)
+        let earliest = known.map_or(0.0, |m| m.last_listed);
+        (now - age).max(earliest)
     }
 
-    fn kind_of(&mut self, kind: &str) -> u8 {
-        let place = self.kinds.iter().position(|known| known == kind);
-        let place = place.unwrap_or_else(|| {
+    /// The number of a kind, which is allocated if the kind is new.
+    fn kind_number(&mut self, kind: &str) -> u8 {
+        let index = self.kinds.iter().position(|known| known == kind);
+        let index = index.unwrap_or_else(|| {
             if self.kinds.len() < usize::from(u8::MAX) {
                 self.kinds.push(kind.to_string());
             }
             self.kinds.len() - 1
         });
-        place as u8
+        index as u8
     }
 
     pub fn entries(&self) -> Vec<Entry> {
@@ -165,7 +174,7 @@
         self.members.iter().map(entry).collect()
     }
 
-    /// A server that some list has named, whether or not the last one did.
+    /// A server that is listed, or that was dropped and is still known.
     pub fn get(&self, server: &Address) -> Option<&Member> {
         self.members.get(server).or_else(|| self.dropped.get(server))
     }
@@ -174,9 +183,9 @@
         &self.members
     }
 
-    /// The list as text for the next start, and when it was kept, where that can be told.
+    /// Serializes the list for the next start. `kept_at` is the current time, if known.
     pub fn save(&self, now: f64, kept_at: Option<BootTime>) -> String {
-        let kept = |(server, m): (&Address, &Member)| SavedServer {
+        let saved = |(server, m): (&Address, &Member)| SavedServer {
             server: server.to_string(),
             zone: m.zone,
             kind: m.kind,
@@ -187,39 +196,40 @@
             metrics: m.metrics,
             orca: m.orca,
         };
-        let open = self.members.iter().filter(|(_, m)| m.readiness != Readiness::Gone);
-        let saved = SavedList { kept_at, servers: open.map(kept).collect() };
-        serde_json::to_string(&saved).unwrap_or_default()
+        let present = self.members.iter().filter(|(_, m)| m.readiness != Readiness::Gone);
+        let list = SavedList { kept_at, servers: present.map(saved).collect() };
+        serde_json::to_string(&list).unwrap_or_default()
     }
 
-    /// Starts from a kept list. Servers have aged by the time since; where that is not known, as after a
-    /// boot, each is as young as it was when the list was kept. Errors: it is no such list.
+    /// Replaces the list by a stored one. The ages of the servers grow by the time since the list was stored; if
+    /// that time is not known, as after a reboot, they stay the same.
     pub fn restore(
         &mut self,
         text: &str,
         zones: usize,
         now: f64,
-        moment: Option<BootTime>,
+        boot_time: Option<BootTime>,
     ) -> Result<List, String> {
-        let saved: SavedList = serde_json::from_str(text).map_err(|e| format!("not a kept list: {e}"))?;
-        let since = saved.kept_at.zip(moment).filter(|(kept, now)| kept.boot == now.boot);
-        let away = since.map_or(0.0, |(kept, now)| (now.seconds - kept.seconds).max(0.0));
+        let saved: SavedList = serde_json::from_str(text).map_err(|e| format!("not a saved list: {e}"))?;
+        let same_boot = saved.kept_at.zip(boot_time).filter(|(kept, now)| kept.boot == now.boot);
+        let elapsed = same_boot.map_or(0.0, |(kept, now)| (now.seconds - kept.seconds).max(0.0));
         let mut members = BTreeMap::new();
-        for k in saved.servers {
-            let host: SocketAddrV4 = k.server.parse().map_err(|_| format!("{:?} is no server", k.server))?;
-            if usize::from(k.zone) >= zones {
-                return Err(format!("{} is in zone {}, of {zones}", k.server, k.zone));
+        for s in saved.servers {
+            let host: SocketAddrV4 =
+                s.server.parse().map_err(|_| format!("{:?} is not an IPv4 address:port", s.server))?;
+            if usize::from(s.zone) >= zones {
+                return Err(format!("{} is in zone {}, but there are {zones} zones", s.server, s.zone));
             }
             let member = Member {
-                zone: k.zone,
-                kind: k.kind,
-                readiness: if k.draining { Readiness::Draining } else { Readiness::Ready },
-                weight: if k.weight > 0.0 && k.weight.is_finite() { k.weight } else { 1.0 },
-                label: k.label,
-                started: k.age.map_or(0.0, |age| (now - away - age.max(0.0)).max(0.0)),
-                metrics: k.metrics,
-                orca: k.orca,
-                seen: now,
+                zone: s.zone,
+                kind: s.kind,
+                readiness: if s.draining { Readiness::Draining } else { Readiness::Ready },
+                weight: if s.weight > 0.0 && s.weight.is_finite() { s.weight } else { 1.0 },
+                label: s.label,
+                started: s.age.map_or(0.0, |age| (now - elapsed - age.max(0.0)).max(0.0)),
+                metrics: s.metrics,
+                orca: s.orca,
+                last_listed: now,
             };
             members.insert(Address { host: host.ip().octets(), port: host.port() }, member);
         }
