--- a/wirehost/src/lib.rs
+++ b/wirehost/src/lib.rs
@@ -1,13 +1,13 @@
-//! The simulator's wire around oatlever's decisions.
+//! Adapter between the simulator's binary protocol and oatlever's decision logic.
 //!
-//! `frame` cuts batches out of a byte stream and builds replies, `host` keeps the instances
-//! apart. The settings an instance starts with are read by `oatlever-instance`.
+//! `frame` decodes batches from a byte stream and encodes replies, and `host` runs the instances. The settings of
+//! an instance are parsed by `oatlever-instance`.
 
 pub mod frame;
 pub mod host;
 
 pub use oatlever_instance::Malformed;
 
-pub(crate) fn malformed<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
+pub(crate) fn malformed<T>(message: impl Into<String>) -> Result<T, Malformed> {
+    Err(Malformed(message.into()))
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,3 +1,5 @@
+//! Serves instances to the simulator over standard input and output.
+
 use oatlever_wirehost::{frame, host::Host};
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
@@ -19,8 +21,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("oatlever-wirehost: {what}");
+        Err(error) => {
+            eprintln!("oatlever-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Byte layouts against the wire's own examples, and plain words on what is malformed.
+//! Byte layouts against the examples of the protocol, and errors for malformed input.
 
 use oatlever::round::{Address, Writer};
 use oatlever_wirehost::{frame, host::Host};
@@ -12,8 +12,8 @@
 /// Records of 56 bytes each, zero-filled, then a tail.
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut out = 250.0f64.to_be_bytes().to_vec();
-    let long = 20 + 56 * records.len() + tail.len();
-    out.extend((long as u32).to_be_bytes());
+    let length = 20 + 56 * records.len() + tail.len();
+    out.extend((length as u32).to_be_bytes());
     out.extend((records.len() as u32).to_be_bytes());
     out.extend(9u32.to_be_bytes());
     for record in records {
@@ -44,18 +44,19 @@
     "start-capacity": 0.15, "stop-sending-within-ms": 2000.0, "warm-within-ms": 16000.0},
   "zones": ["atlanta", "athens", "macon"]}"#;
 
-fn enlist(who: u16, tail_from: u32, long: usize) -> Vec<u8> {
+/// The start event of an instance, whose settings are in the tail.
+fn start_event(instance: u16, offset: u32, length: usize) -> Vec<u8> {
     let mut record = bytes("0105");
-    record.extend(who.to_be_bytes());
+    record.extend(instance.to_be_bytes());
     record.extend(77u64.to_be_bytes());
-    record.extend(tail_from.to_be_bytes());
-    record.extend((long as u32).to_be_bytes());
+    record.extend(offset.to_be_bytes());
+    record.extend((length as u32).to_be_bytes());
     record
 }
 
-fn started() -> Host {
+fn started_host() -> Host {
     let mut host = Host::default();
-    let start = batch(&[enlist(3, 0, CONF.len())], CONF.as_bytes());
+    let start = batch(&[start_event(3, 0, CONF.len())], CONF.as_bytes());
     answer(&mut host, &start).expect("a start");
     host
 }
@@ -68,15 +69,15 @@
 }
 
 #[test]
-fn orders_are_laid_out_as_the_wire_shows_them() {
+fn orders_are_encoded_as_in_the_protocol_s_examples() {
     let mut reply = frame::Reply::default();
     let server = Address { host: [0x0a, 0x90, 0x11, 0xf2], port: 0x1b84 };
-    reply.speak_for(3);
+    reply.set_instance(3);
     reply.weigh(0x75, server, 0.5);
     reply.set_timer(0.5, 0x4d);
     reply.bind(0x29, 0x75);
     reply.admit(0x75, 2, 0.5, 1);
-    reply.speak_for(5);
+    reply.set_instance(5);
     reply.note("two servers known");
     let expected = bytes(
         "00000005 00000095 0000000c
@@ -91,8 +92,8 @@
 }
 
 #[test]
-fn events_of_the_wire_s_examples_are_understood() {
-    let mut host = started();
+fn events_of_the_protocol_s_examples_are_decoded() {
+    let mut host = started_host();
     let stats = bytes(
         "010a 0003 00000001 0000 4048200000000000 0000000e 0a124a07 1b5b 408f400000000000
          01 40e00000 00000000 00000000 00000000",
@@ -109,29 +110,31 @@
     let records = [list, joined, stats, usage, tick];
     let reply = answer(&mut host, &batch(&records, &entries)).unwrap();
     let codes: Vec<&[u8]> = reply[12..].chunks(24).map(|record| &record[..2]).collect();
-    assert!(codes.contains(&&bytes("0105")[..]), "lines are laid: {codes:02x?}");
+    assert!(codes.contains(&&bytes("0105")[..]), "lines are written: {codes:02x?}");
     let bind = reply[12..].chunks(24).find(|record| record[..2] == [1, 8]).expect("a bind");
     assert_eq!(bind[4..6], [0, 0x29]);
 }
 
 #[test]
-fn instances_share_nothing_and_a_restart_forgets() {
-    let mut host = started();
-    let both =
-        batch(&[bytes("0109 0003"), enlist(3, 0, CONF.len()), enlist(4, 0, CONF.len())], CONF.as_bytes());
+fn instances_are_independent_and_a_restart_drops_state() {
+    let mut host = started_host();
+    let both = batch(
+        &[bytes("0109 0003"), start_event(3, 0, CONF.len()), start_event(4, 0, CONF.len())],
+        CONF.as_bytes(),
+    );
     assert!(answer(&mut host, &both).is_ok());
     let joined = bytes("0104 0004 40d00000 0000 01 0029");
     let reply = answer(&mut host, &batch(&[joined], &[])).unwrap();
-    let who: Vec<&[u8]> = reply[12..].chunks(24).map(|record| &record[2..4]).collect();
-    assert!(who.iter().all(|w| *w == [0, 4]), "only the instance with an event acts: {who:?}");
+    let instances: Vec<&[u8]> = reply[12..].chunks(24).map(|record| &record[2..4]).collect();
+    assert!(instances.iter().all(|i| *i == [0, 4]), "only the instance with an event acts: {instances:?}");
 }
 
 #[test]
-fn malformed_input_is_named() {
+fn malformed_input_is_reported() {
     let whole = batch(&[bytes("0101 0003")], &[]);
-    let settings = |from: &str, to: &str, wanted| {
+    let settings = |from: &str, to: &str, expected| {
         let conf = CONF.replace(from, to);
-        (batch(&[enlist(1, 0, conf.len())], conf.as_bytes()), wanted)
+        (batch(&[start_event(1, 0, conf.len())], conf.as_bytes()), expected)
     };
     let cases: Vec<(Vec<u8>, &str)> = vec![
         (whole[..10].to_vec(), "10 bytes into a frame header"),
@@ -144,8 +147,8 @@
         (batch(&[bytes("0100 0003 01 0000000000000029 00000000 00000001")], &[]), "outside a tail"),
         (batch(&[bytes("0100 0003 09 0000000000000029")], &[]), "unknown kind"),
         (batch(&[[bytes("010a 0003"), vec![0; 32], vec![5]].concat()], &[]), "a load report of 5 values"),
-        (batch(&[enlist(5, 0, 3)], b"{{{"), "not JSON"),
-        (batch(&[enlist(5, 0, 2)], b"{}"), "`family-info` is missing"),
+        (batch(&[start_event(5, 0, 3)], b"{{{"), "not JSON"),
+        (batch(&[start_event(5, 0, 2)], b"{}"), "`family-info` is missing"),
         settings("\"head\": 4.0", "\"head\": \"x\"", "`family-info.head` is \"x\", not a number"),
         settings("\"head\": 4.0", "\"head\": -1", "`family-info.head` is -1, not a number"),
         settings("\"probes\": true", "\"probes\": 3", "`limits.probes` is 3, not true or false"),
@@ -156,8 +159,8 @@
         ),
         settings("\"worth\": 3.0", "\"worthy\": 3.0", "`worth` is missing in `lanes[1]`"),
     ];
-    for (input, wanted) in cases {
-        let said = answer(&mut started(), &input).expect_err("an error");
-        assert!(said.contains(wanted), "said `{said}`, wanted `{wanted}`");
+    for (input, expected) in cases {
+        let error = answer(&mut started_host(), &input).expect_err("an error");
+        assert!(error.contains(expected), "got `{error}`, expected `{expected}`");
     }
 }
