--- a/identity/src/grants.rs
+++ b/identity/src/grants.rs
@@ -1,8 +1,8 @@
 //! Authorizes certificate identities to act as nodes. Does no I/O; the current time is an argument.
 //!
-//! A grant maps an identity, given in full or as a prefix, to one node or to all nodes of a zone. If any grant
-//! names a node, only grants that name it apply to that node. Otherwise a grant for its zone would let every
-//! proxy of the zone impersonate the node that has a grant of its own.
+//! A grant maps an identity, given in full or as a prefix, to one node or to all nodes of a zone. If any
+//! grant names a node, only grants that name it apply to that node. Otherwise a grant for its zone would let
+//! every proxy of the zone impersonate the node that has a grant of its own.
 
 use crate::certificate::Peer;
 use std::collections::{BTreeMap, BTreeSet};
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -101,8 +101,8 @@
         Ok(TlsKeys { files, contents, config, error: None })
     }
 
-    /// Reads the files again and returns whether new keys are in use. If the files can't be used, the old keys
-    /// stay; an error that repeats is returned only once.
+    /// Reads the files again and returns whether new keys are in use. If the files can't be used, the old
+    /// keys stay; an error that repeats is returned only once.
     pub fn reload(&mut self) -> Result<bool, String> {
         let loaded = self.files.read().and_then(|contents| {
             if contents == self.contents {
--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -21,8 +21,8 @@
     Err(Malformed(message.into()))
 }
 
-/// Upper bound of numbers and of times in ms that have no bound of their own. Anything larger is a mistake, and
-/// no timer can wait for years.
+/// Upper bound of numbers and of times in ms that have no bound of their own. Anything larger is a mistake,
+/// and no timer can wait for years.
 const MAX_NUMBER: f64 = 1e9;
 /// Upper bound of the tick, in ms. A pilot that ran rounds less often could not serve anyone.
 const MAX_TICK_MS: f64 = 60_000.0;
--- a/reactor/src/lib.rs
+++ b/reactor/src/lib.rs
@@ -1,7 +1,8 @@
 //! A single-threaded reactor for sockets and timers, and an executor for one future.
 //!
-//! The reactor of `async-io` runs a second thread, which wakes up a hundred times per second while the main thread
-//! is busy and competes with it at startup. A pilot that has only part of a core can't afford that thread.
+//! The reactor of `async-io` runs a second thread, which wakes up a hundred times per second while the main
+//! thread is busy and competes with it at startup. A pilot that has only part of a core can't afford that
+//! thread.
 //!
 //! Wakers work only on the thread that they were created on: waking a task from another thread does not
 //! interrupt the reactor's wait.
@@ -101,7 +102,8 @@
         timers.first_key_value().map(|((at, _), _)| at.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits for events or the next timer, and wakes the tasks concerned. Does not block if `poll_only` is set.
+    /// Waits for events or the next timer, and wakes the tasks concerned. Does not block if `poll_only` is
+    /// set.
     fn turn(&self, poll_only: bool) -> io::Result<()> {
         let timeout = if poll_only { Some(Duration::ZERO) } else { self.time_to_next_timer() };
         // Rounded up to whole milliseconds, so that the timer has expired when the wait returns.
--- a/reactor/tests/waits.rs
+++ b/reactor/tests/waits.rs
@@ -54,8 +54,8 @@
     assert_eq!(order.unwrap(), [2, 4]);
 }
 
-/// Events are edge-triggered. Data that arrives between a failed read and the wait must wake the task, and so must
-/// data that an earlier read has left in the socket.
+/// Events are edge-triggered. Data that arrives between a failed read and the wait must wake the task, and so
+/// must data that an earlier read has left in the socket.
 #[test]
 fn data_that_arrives_between_a_read_and_the_wait_is_not_missed() {
     let (mut far, near) = pair();
--- a/roster/src/document.rs
+++ b/roster/src/document.rs
@@ -1,8 +1,9 @@
 //! Parser for documents in the format of Prometheus' HTTP and file service discovery:
 //! `[{"targets": ["host:port"], "labels": {...}}]`.
 //!
-//! Supported labels: `zone` (required), `kind`, `weight`, `state` (`ready`, `draining`, `gone`), `started` (Unix
-//! time in seconds), `metrics` (host:port of the server's counters), `orca` (host:port of its load reports).
+//! Supported labels: `zone` (required), `kind`, `weight`, `state` (`ready`, `draining`, `gone`), `started`
+//! (Unix time in seconds), `metrics` (host:port of the server's counters), `orca` (host:port of its load
+//! reports).
 
 use oatlever::round::{Address, Readiness};
 use serde::Deserialize;
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -1,8 +1,8 @@
 //! The list of servers, from documents of the Prometheus service discovery format.
 //!
-//! `document` parses a document, `server_list` tracks the listed servers and turns documents into updates of the
-//! list, and `reader` polls the source and stores the last valid list in a file. `platform` implements the other
-//! kind of list, that of the operators' platform, which is watched for changes.
+//! `document` parses a document, `server_list` tracks the listed servers and turns documents into updates of
+//! the list, and `reader` polls the source and stores the last valid list in a file. `platform` implements
+//! the other kind of list, that of the operators' platform, which is watched for changes.
 
 mod document;
 pub mod platform;
--- a/roster/src/platform.rs
+++ b/roster/src/platform.rs
@@ -1,5 +1,5 @@
-//! The server list of the operators' platform: its documents, a registry of the listed servers, and a client that
-//! watches the list.
+//! The server list of the operators' platform: its documents, a registry of the listed servers, and a client
+//! that watches the list.
 //!
 //! The platform gives each server a name, which is the same for all pilots, and an address, which may differ
 //! between pilots. The decision logic identifies servers by short IDs in the form of an [`Address`], which
@@ -15,9 +15,9 @@
 
 /// Maximum length of a server's name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Maximum number of removed servers that stay known, as reports may still arrive for them and tables may still
-/// contain them. Beyond it, those removed first are dropped: new servers come with new names, so without a limit
-/// the registry would grow for as long as the pilot runs.
+/// Maximum number of removed servers that stay known, as reports may still arrive for them and tables may
+/// still contain them. Beyond it, those removed first are dropped: new servers come with new names, so
+/// without a limit the registry would grow for as long as the pilot runs.
 const MAX_REMOVED: usize = 512;
 /// Maximum size of a document, in bytes. A list of tens of thousands of servers fits.
 const MAX_DOCUMENT_BYTES: usize = 8 << 20;
@@ -139,7 +139,8 @@
     Cached,
     /// The discovery service.
     Update,
-    /// A discovery service whose versions have restarted, so that they can't be compared with the current version.
+    /// A discovery service whose versions have restarted, so that they can't be compared with the current
+    /// version.
     VersionReset,
 }
 
@@ -161,12 +162,12 @@
 impl ServerRegistry {
     /// Applies a document and returns the list to pass to the decision logic.
     ///
-    /// Fails without a change if the document is older than the current list or contains no usable entry. A pilot
-    /// may be moved to a discovery service that lags behind; without this check, servers that are draining or
-    /// removed would be considered ready.
+    /// Fails without a change if the document is older than the current list or contains no usable entry. A
+    /// pilot may be moved to a discovery service that lags behind; without this check, servers that are
+    /// draining or removed would be considered ready.
     ///
-    /// In a full list, a server whose entry can't be used keeps its last state, and a server without an entry is
-    /// gone. So an invalid entry neither keeps removed servers listed nor drops its own server.
+    /// In a full list, a server whose entry can't be used keeps its last state, and a server without an entry
+    /// is gone. So an invalid entry neither keeps removed servers listed nor drops its own server.
     pub fn apply(&mut self, document: &PlatformDocument, origin: Origin) -> Result<List, String> {
         if let Some(held) = self.version.filter(|_| self.is_older(document) && origin != Origin::VersionReset)
         {
@@ -214,8 +215,8 @@
         self.version.is_some_and(|held| document.version < held)
     }
 
-    /// The readiness of a server in a list whose versions have restarted. The list may be older than the current
-    /// one, so a server that was draining or removed is ready again only if it has restarted since.
+    /// The readiness of a server in a list whose versions have restarted. The list may be older than the
+    /// current one, so a server that was draining or removed is ready again only if it has restarted since.
     fn readiness_after_reset(&self, server: &ListedServer) -> Readiness {
         let id = self.id(&server.name);
         let current = id.and_then(|id| Some((id, &self.known.get(&id)?.entry)));
@@ -299,10 +300,11 @@
 }
 
 impl Watch {
-    /// Requests the full list, or the changes after version `after`, for which the service may wait up to `wait`
-    /// seconds. Cancel-safe: the future may be dropped at any time.
+    /// Requests the full list, or the changes after version `after`, for which the service may wait up to
+    /// `wait` seconds. Cancel-safe: the future may be dropped at any time.
     ///
-    /// Fails if there is no answer within `timeout` seconds on top of `wait`, or if the answer is not a valid list.
+    /// Fails if there is no answer within `timeout` seconds on top of `wait`, or if the answer is not a valid
+    /// list.
     pub async fn poll(
         &mut self,
         host: SocketAddr,
@@ -324,7 +326,8 @@
                     other => return other.map(|answer| (connection, answer)),
                 }
             }
-            // Connecting has the shorter timeout, so that an unreachable machine does not take the whole wait.
+            // Connecting has the shorter timeout, so that an unreachable machine does not take the whole
+            // wait.
             let mut connection = fetch::with_timeout::<SingleThreaded, _>(
                 timeout,
                 fetch::Connection::connect::<SingleThreaded>(host, None),
--- a/roster/src/reader.rs
+++ b/roster/src/reader.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Reads the document. Also returns the Unix time in seconds, by the clock of the source, at which it was sent.
+    /// Reads the document. Also returns the Unix time in seconds, by the clock of the source, at which it was
+    /// sent.
     async fn read(&self, timeout: f64, max_bytes: usize) -> Result<(Vec<u8>, Option<f64>), String> {
         let unix = |time: SystemTime| time.duration_since(UNIX_EPOCH).ok().map(|t| t.as_secs_f64());
         match self {
--- a/roster/src/server_list.rs
+++ b/roster/src/server_list.rs
@@ -1,8 +1,8 @@
 //! The listed servers, and the start time of each on the pilot's clock.
 //!
-//! Documents state start times as wall-clock time, which may step. The pilot's own wall clock is not used: a start
-//! time is converted once, by the server's age on the clock of the document's source, and kept for as long as the
-//! `started` label does not change.
+//! Documents state start times as wall-clock time, which may step. The pilot's own wall clock is not used: a
+//! start time is converted once, by the server's age on the clock of the document's source, and kept for as
+//! long as the `started` label does not change.
 
 use crate::document::{Completeness, Document, ServerEntry};
 use oatlever::round::{Address, Entry, List, ListKind, Readiness};
@@ -43,8 +43,8 @@
     pub changed: bool,
 }
 
-/// A time that stays meaningful across restarts of the process: seconds since the machine's boot, and the ID of
-/// that boot. Steps of the wall clock do not affect it.
+/// A time that stays meaningful across restarts of the process: seconds since the machine's boot, and the ID
+/// of that boot. Steps of the wall clock do not affect it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BootTime {
     pub boot: String,
@@ -74,7 +74,8 @@
     orca: Option<SocketAddrV4>,
 }
 
-/// Maximum number of dropped servers that stay known. Beyond it, those that were listed longest ago are removed.
+/// Maximum number of dropped servers that stay known. Beyond it, those that were listed longest ago are
+/// removed.
 const MAX_DROPPED: usize = 20_000;
 
 /// The listed servers, and those that were dropped from the list.
@@ -83,15 +84,16 @@
     members: BTreeMap<Address, Member>,
     /// Servers that are not listed any more.
     ///
-    /// The list may be wrong, and a dropped server may go on serving. If its reports were discarded as those of an
-    /// unknown server, it would be considered silent. A server that is listed again keeps its start time.
+    /// The list may be wrong, and a dropped server may go on serving. If its reports were discarded as those
+    /// of an unknown server, it would be considered silent. A server that is listed again keeps its start
+    /// time.
     dropped: BTreeMap<Address, Member>,
     kinds: Vec<String>,
 }
 
 impl ServerList {
-    /// Applies a document at `now`, the pilot's time. `clock` is the Unix time in seconds at which the source sent
-    /// the document, by the source's clock. A document that is only partially readable drops no server.
+    /// Applies a document at `now`, the pilot's time. `clock` is the Unix time in seconds at which the source
+    /// sent the document, by the source's clock. A document that is only partially readable drops no server.
     pub fn apply(&mut self, document: &Document, now: f64, clock: Option<f64>) -> Update {
         let (mut changed, before) = (false, self.members.len());
         for listed in &document.servers {
@@ -136,9 +138,9 @@
 
     /// Converts the `started` label to the pilot's clock.
     ///
-    /// A label that is new is converted by its age. One that changed lies between the last list with the old value
-    /// and now. Without a clock of the source, a new server counts as started now, which makes it as cold as
-    /// possible.
+    /// A label that is new is converted by its age. One that changed lies between the last list with the old
+    /// value and now. Without a clock of the source, a new server counts as started now, which makes it as
+    /// cold as possible.
     fn start_time(&self, listed: &ServerEntry, now: f64, clock: Option<f64>) -> f64 {
         let known = self.get(&listed.server);
         let Some(label) = listed.started else { return known.map_or(0.0, |m| m.started) };
@@ -201,8 +203,8 @@
         serde_json::to_string(&list).unwrap_or_default()
     }
 
-    /// Replaces the list by a stored one. The ages of the servers grow by the time since the list was stored; if
-    /// that time is not known, as after a reboot, they stay the same.
+    /// Replaces the list by a stored one. The ages of the servers grow by the time since the list was stored;
+    /// if that time is not known, as after a reboot, they stay the same.
     pub fn restore(
         &mut self,
         text: &str,
--- a/roster/tests/platform.rs
+++ b/roster/tests/platform.rs
@@ -53,8 +53,8 @@
     assert_eq!((registry.version, registry.counts()), (Some(42), (2, 1)));
 }
 
-/// After versions restart, the list may be older than the current one. A server that was draining or removed must
-/// be ready again only if it has restarted since.
+/// After versions restart, the list may be older than the current one. A server that was draining or removed
+/// must be ready again only if it has restarted since.
 #[test]
 fn a_version_reset_keeps_draining_and_removed_servers() {
     let mut registry = ServerRegistry::default();
@@ -95,8 +95,8 @@
     assert!(registry.id("s-1998").is_some());
 }
 
-/// A pilot may be moved to a discovery service that lags behind. A server that has been draining since must not be
-/// considered ready.
+/// A pilot may be moved to a discovery service that lags behind. A server that has been draining since must
+/// not be considered ready.
 #[test]
 fn an_older_list_is_rejected() {
     let mut registry = ServerRegistry::default();
--- a/roster/tests/roster.rs
+++ b/roster/tests/roster.rs
@@ -66,8 +66,8 @@
     assert_eq!((empty.list.kind, empty.list.entries.len(), empty.changed), (ListKind::Full, 0, true));
 }
 
-/// A dropped server may go on serving. If its reports were discarded, the decision logic would consider it silent
-/// and empty the tables: 20 s of an empty list once left every proxy without a server.
+/// A dropped server may go on serving. If its reports were discarded, the decision logic would consider it
+/// silent and empty the tables: 20 s of an empty list once left every proxy without a server.
 #[test]
 fn a_dropped_server_stays_known_and_keeps_its_start_time() {
     let mut list = ServerList::default();
@@ -99,10 +99,10 @@
     assert_eq!(start_time(&update, 2), 130.0);
 }
 
-/// Ages are restored by the boot-time clock, which keeps running between processes and is never stepped. If the
-/// elapsed time is unknown, servers keep the ages they had, as being considered too cold is safe. Without stored
-/// ages, a warm zone once was considered cold after a restart of the pilot: it got almost no queries for 8 s while
-/// the other zones were full.
+/// Ages are restored by the boot-time clock, which keeps running between processes and is never stepped. If
+/// the elapsed time is unknown, servers keep the ages they had, as being considered too cold is safe. Without
+/// stored ages, a warm zone once was considered cold after a restart of the pilot: it got almost no queries
+/// for 8 s while the other zones were full.
 #[test]
 fn a_saved_list_is_restored_with_its_ages() {
     let mut list = ServerList::default();
--- a/wirehost/src/frame.rs
+++ b/wirehost/src/frame.rs
@@ -67,8 +67,8 @@
         self.body[..self.count * EVENT_BYTES].chunks_exact(EVENT_BYTES).map(View)
     }
 
-    /// Returns the part of the tail that a record refers to. The record holds the offset in the tail, in bytes, at
-    /// position `at`, followed by the number of items of `item_bytes` bytes each.
+    /// Returns the part of the tail that a record refers to. The record holds the offset in the tail, in
+    /// bytes, at position `at`, followed by the number of items of `item_bytes` bytes each.
     pub fn tail(&self, record: View, at: usize, item_bytes: usize) -> Result<&[u8], Malformed> {
         let tail = &self.body[self.count * EVENT_BYTES..];
         let (start, count) = (record.u32(at) as usize, record.u32(at + 4) as usize);
--- a/wirehost/src/host.rs
+++ b/wirehost/src/host.rs
@@ -51,8 +51,8 @@
 }
 
 impl Host {
-    /// Delivers the events of a batch, runs one round of each instance that has events, in the order of their first
-    /// events, and returns the encoded reply.
+    /// Delivers the events of a batch, runs one round of each instance that has events, in the order of their
+    /// first events, and returns the encoded reply.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, Malformed> {
         let mut order = Vec::new();
         for (index, record) in batch.records().enumerate() {
--- a/wirehost/src/lib.rs
+++ b/wirehost/src/lib.rs
@@ -1,7 +1,7 @@
 //! Adapter between the simulator's binary protocol and oatlever's decision logic.
 //!
-//! `frame` decodes batches from a byte stream and encodes replies, and `host` runs the instances. The settings of
-//! an instance are parsed by `oatlever-instance`.
+//! `frame` decodes batches from a byte stream and encodes replies, and `host` runs the instances. The
+//! settings of an instance are parsed by `oatlever-instance`.
 
 pub mod frame;
 pub mod host;
