--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -12,7 +12,7 @@
 use oatlever_dns::Backend;
 use oatlever_handout::Answer;
 use oatlever_reports::{Aggregator, AskerInfo, Counters, Exposition, Target};
-use oatlever_roster::{Book, Document, Moment, Taken};
+use oatlever_roster::{BootTime, Document, ServerList, Update};
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{AskerKind, DeliveryTracker, NoReview, Review, RoundInputs, Tables, View};
 use oatlever_xds::LoadReport;
@@ -50,7 +50,7 @@
     pub planning: Option<Planning>,
     pub dns_answers: DnsAnswers,
     pub presence: Presence,
-    pub book: Book,
+    pub book: ServerList,
     pub sums: Aggregator,
     counters: BTreeMap<Target, Counters>,
     owners: Vec<AskerInfo>,
@@ -116,7 +116,7 @@
             planning: Planning::new(&settings),
             dns_answers: DnsAnswers::new(&settings, seed, now),
             presence: Presence::new(&always_up, settings.status.away_after),
-            book: Book::default(),
+            book: ServerList::default(),
             sums: Aggregator::new(settings.reports.period, names),
             counters: BTreeMap::new(),
             owners,
@@ -187,7 +187,7 @@
         for load in loads {
             self.sums.add_reported_queries(owner, &load.cluster, load.queries, load.interval);
             for met in load.endpoints {
-                if self.book.known(&met.server).is_some() {
+                if self.book.get(&met.server).is_some() {
                     let figures = (met.answered, met.failed, met.answer_seconds);
                     self.sums.add_reported_tries(owner, met.server, figures, load.interval);
                 }
@@ -203,7 +203,7 @@
 
     /// Takes up the list of servers cached by the last run. Fails if it can't be parsed.
     pub fn restore(&mut self, text: &str, now: f64) -> Result<(), String> {
-        let list = self.book.restore(text, self.settings.zones.len(), now, Moment::now())?;
+        let list = self.book.restore(text, self.settings.zones.len(), now, BootTime::now())?;
         self.push_list("cached", list);
         Ok(())
     }
@@ -221,14 +221,14 @@
                 false
             }
             Ok((document, clock)) => {
-                let error = (!document.mistakes.is_empty()).then(|| document.mistakes.join("; "));
+                let error = (!document.errors.is_empty()).then(|| document.errors.join("; "));
                 if let Some(what) = error.as_ref().filter(|what| self.list_error.as_ref() != Some(*what)) {
                     tracing::warn!(%what, "invalid entries in the list of servers");
                 }
                 self.list_error = error;
                 self.list_received_at = Some(now);
                 let before = self.book.members().len();
-                let Taken { list, changed } = self.book.take(&document, now, clock);
+                let Update { list, changed } = self.book.apply(&document, now, clock);
                 if changed {
                     tracing::info!(servers = list.entries.len(), before, "list of servers changed");
                 }
@@ -272,7 +272,7 @@
             Target::Asker(asker) => {
                 let book = &self.book;
                 self.sums
-                    .add_proxy_counters(self.owners[usize::from(asker)], &gain, |s| book.known(s).is_some());
+                    .add_proxy_counters(self.owners[usize::from(asker)], &gain, |s| book.get(s).is_some());
             }
             Target::Server(server) => {
                 let (owners, prefixes) = (&self.owners, &self.prefixes);
@@ -284,10 +284,10 @@
 
     /// Drops the counters of targets that are no longer scraped. Server addresses come and go while the pilot
     /// runs, so keeping them would leak memory.
-    pub fn retain_targets(&mut self, targets: &BTreeMap<Target, oatlever_fetch::Place>) {
+    pub fn retain_targets(&mut self, targets: &BTreeMap<Target, oatlever_fetch::HttpUrl>) {
         self.counters.retain(|target, _| targets.contains_key(target));
         let book = &self.book;
-        self.sums.in_flight.retain(|server, _| book.known(server).is_some());
+        self.sums.in_flight.retain(|server, _| book.get(server).is_some());
     }
 
     /// Takes in the result of a health check.
--- a/pilot/src/dns_answers.rs
+++ b/pilot/src/dns_answers.rs
@@ -4,7 +4,7 @@
 use oatlever::round::{Address, Round};
 use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_reports::Aggregator;
-use oatlever_roster::Book;
+use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use oatlever_tables::Tables;
 use serde_json::{json, Value};
@@ -53,7 +53,7 @@
 
     /// After the decisions: sets the query rate that answers may bring each cold server, which is its share in the
     /// tables of the askers that resolve addresses. Proxies that are scraped or hold a stream apply weights themselves.
-    pub fn update_budgets(&mut self, tables: &Tables, book: &Book, settings: &Settings, now: f64) {
+    pub fn update_budgets(&mut self, tables: &Tables, book: &ServerList, settings: &Settings, now: f64) {
         if !self.has_ledger {
             return;
         }
@@ -90,7 +90,7 @@
     pub fn answer(
         &mut self,
         tables: &Tables,
-        book: &Book,
+        book: &ServerList,
         (asker, class, host): (u16, u16, Ipv4Addr),
         most: usize,
         settings: &Settings,
@@ -98,7 +98,7 @@
     ) -> Option<Answer> {
         let view = tables.view(asker, class)?;
         let who = Client { host, class, group_rate: self.rate(asker, class as u8, settings) };
-        let zone = |server: &Address| book.known(server).map(|member| member.zone);
+        let zone = |server: &Address| book.get(server).map(|member| member.zone);
         let rng = &mut self.rng;
         let empty = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
         Some(self.handout.answer(&view, who, most, zone, now, || rng.f64()).unwrap_or_else(empty))
--- a/pilot/src/platform/connections.rs
+++ b/pilot/src/platform/connections.rs
@@ -6,9 +6,9 @@
 use async_executor::LocalExecutor;
 use event_listener::Event;
 use futures_lite::future;
-use oatlever_platform::frame::{LONGEST, LONGEST_FIRST};
-use oatlever_platform::message::REFUSED;
-use oatlever_platform::{Connection, Lines};
+use oatlever_platform::frame::{MAX_JOIN_BYTES, MAX_MESSAGE_BYTES};
+use oatlever_platform::message::REJECT;
+use oatlever_platform::{Connection, LineBuffer};
 use oatlever_reactor::{Async, Timer};
 use rustix::io::Errno;
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
     id: Connection,
     stream: Async<TcpStream>,
     /// Received bytes of an incomplete message.
-    input: RefCell<Lines>,
+    input: RefCell<LineBuffer>,
     output: RefCell<VecDeque<Rc<[u8]>>>,
     /// Bytes of the front of `output` that are already written.
     written: Cell<usize>,
@@ -173,7 +173,7 @@
         self.open.borrow_mut().remove(&peer.id);
         self.unjoined.borrow_mut().remove(&peer.id);
         let input = peer.input.take();
-        self.incomplete_bytes.set(self.incomplete_bytes.get() - input.kept());
+        self.incomplete_bytes.set(self.incomplete_bytes.get() - input.buffered());
         peer.queued.set(0);
         peer.drained.notify(usize::MAX);
     }
@@ -189,7 +189,7 @@
     /// far longer than any real one, so a joined fleet that sends long ones at once would exhaust the memory.
     fn max_message_bytes(&self, kept: usize) -> usize {
         let left = self.max_incomplete_bytes.saturating_sub(self.incomplete_bytes.get() - kept);
-        LONGEST.min(left).max(LONGEST_FIRST)
+        MAX_MESSAGE_BYTES.min(left).max(MAX_JOIN_BYTES)
     }
 }
 
@@ -235,7 +235,7 @@
                     executor.spawn(serve(peer, pilot.clone())).detach();
                 } else {
                     pilot.controller.borrow_mut().counts.full += 1;
-                    drop(stream.get_ref().write(REFUSED));
+                    drop(stream.get_ref().write(REJECT));
                 }
                 // Lets the tasks of accepted connections read and those of closed ones release their descriptors
                 // before the next accept, which matters when a whole fleet connects at once.
@@ -318,7 +318,7 @@
     // Collectors expect no bytes, so a joined connection gets no refusal.
     if !joined && flushed && !matches!(end, End::ByPeer) {
         // A failed write is harmless: the end of the connection tells the peer the same.
-        drop(peer.stream.get_ref().write(REFUSED));
+        drop(peer.stream.get_ref().write(REJECT));
     }
     pilot.connections.remove(&peer);
     pilot.controller.borrow_mut().disconnected(peer.id);
@@ -365,10 +365,10 @@
 fn handle_input(peer: &Peer, bytes: &[u8], pilot: &Pilot) -> bool {
     let (now, mut valid) = (pilot.clock.now(), true);
     let mut input = peer.input.borrow_mut();
-    let kept = input.kept();
+    let kept = input.buffered();
     let max_joined = pilot.connections.max_message_bytes(kept);
-    let max_bytes = || if peer.joined.get() { max_joined } else { LONGEST_FIRST };
-    let cut = input.cut(bytes, max_bytes, |line| {
+    let max_bytes = || if peer.joined.get() { max_joined } else { MAX_JOIN_BYTES };
+    let cut = input.split(bytes, max_bytes, |line| {
         let reaction = pilot.controller.borrow_mut().handle_line(peer.id, line, now);
         match reaction {
             Reaction::Nothing => {}
@@ -392,7 +392,7 @@
         valid
     });
     let incomplete_bytes = &pilot.connections.incomplete_bytes;
-    incomplete_bytes.set(incomplete_bytes.get() - kept + input.kept());
+    incomplete_bytes.set(incomplete_bytes.get() - kept + input.buffered());
     pilot.wake();
     valid && cut.is_ok()
 }
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -4,10 +4,10 @@
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, Beliefs, HealthCheckResult, List, ListKind, Round, Stream, Tries};
-use oatlever_instance::Start;
-use oatlever_platform::message::{self, Join, Message, Wrong, ALIVE};
-use oatlever_platform::{patience, Connection, Joining, Names, Publisher, Role, Sessions};
-use oatlever_roster::platform::{Origin, PlatformDocument, Register};
+use oatlever_instance::InstanceSettings;
+use oatlever_platform::message::{self, Join, Message, MessageError, HEARTBEAT_ANSWER};
+use oatlever_platform::{silence_timeout, Connection, JoinOutcome, Names, Publisher, Role, Sessions};
+use oatlever_roster::platform::{Origin, PlatformDocument, ServerRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -72,13 +72,13 @@
     names: Names,
     sessions: Sessions,
     publisher: Publisher,
-    pub register: Register,
+    pub register: ServerRegistry,
     round: Round,
     timers: Timers,
     /// Servers whose health check is under way, and the process that is checked.
     checking: BTreeMap<Address, Process>,
     /// Seconds that a connection may take to answer.
-    patience: f64,
+    silence_timeout: f64,
     pub counts: Counts,
     /// The estimates behind the last messages. Estimated demand decays between reports, so estimates taken at other
     /// times would be too low.
@@ -86,19 +86,19 @@
 }
 
 impl Controller {
-    pub fn new(start: Start, names: &oatlever_instance::Names, seed: u64) -> Self {
+    pub fn new(start: InstanceSettings, names: &oatlever_instance::PlatformSettings, seed: u64) -> Self {
         let names = Names {
             zones: names.zones.clone(),
             classes: names.classes.clone(),
             proxies: start.site.proxies as usize,
         };
         Controller {
-            patience: patience(start.site.report_period, start.channel.max_delivery_delay),
+            silence_timeout: silence_timeout(start.site.report_period, start.channel.max_delivery_delay),
             publisher: Publisher::new(names.classes.clone()),
             balancer: Balancer::new(start.site, start.classes, start.channel, start.rules, seed),
             names,
             sessions: Sessions::default(),
-            register: Register::default(),
+            register: ServerRegistry::default(),
             round: Round::default(),
             timers: Timers::default(),
             checking: BTreeMap::new(),
@@ -111,10 +111,10 @@
     /// [`Controller::rejected`] at the last call.
     pub fn idle_cause(&self, rejected: u64) -> Option<&'static str> {
         let joined = self.sessions.proxies().next().is_some();
-        if self.publisher.serves() || !(joined || self.rejected() > rejected) {
+        if self.publisher.has_bound_proxies() || !(joined || self.rejected() > rejected) {
             return None;
         }
-        Some(match self.register.sizes() {
+        Some(match self.register.counts() {
             _ if !joined => "all connections are refused",
             _ if self.register.version.is_none() => "no list of servers was received",
             (0, _) => "the list of servers is empty",
@@ -124,7 +124,7 @@
 
     /// Whether some proxy holds a table.
     pub fn serves(&self) -> bool {
-        self.publisher.serves()
+        self.publisher.has_bound_proxies()
     }
 
     /// Connections refused so far.
@@ -135,20 +135,20 @@
     /// Handles a line received on a connection.
     pub fn handle_line(&mut self, connection: Connection, line: &[u8], now: f64) -> Reaction {
         self.counts.messages += 1;
-        self.sessions.hear(connection, now);
-        let message = message::read(line, &self.names);
+        self.sessions.record_activity(connection, now);
+        let message = message::parse(line, &self.names);
         let role = self.sessions.role(connection);
         match (message, role) {
-            (Ok(Message::Heartbeat), _) => Reaction::Answer(ALIVE),
+            (Ok(Message::Heartbeat), _) => Reaction::Answer(HEARTBEAT_ANSWER),
             (Ok(Message::Join(join)), None) => self.join(connection, &join, now),
             (Ok(_), None) => self.refuse("a report before joining".to_string()),
             (Err(what), None) => self.refuse(what.to_string()),
             // Nothing after an unreadable line can be interpreted.
-            (Err(Wrong::Unreadable(what)), Some(role)) => {
+            (Err(MessageError::Malformed(what)), Some(role)) => {
                 tracing::debug!(?role, %what, line = ?String::from_utf8_lossy(&line[..line.len().min(160)]), "unreadable message");
                 self.refuse(what)
             }
-            (Err(Wrong::Spoilt(what)), Some(_)) => self.ignore(line, &what),
+            (Err(MessageError::InvalidField(what)), Some(_)) => self.ignore(line, &what),
             (Ok(message), Some(role)) => self.report(message, connection, role, line),
         }
     }
@@ -168,15 +168,15 @@
 
     fn join(&mut self, connection: Connection, join: &Join, now: f64) -> Reaction {
         let replaced = match self.sessions.join(connection, join, now) {
-            Joining::New(replaced) => replaced,
-            Joining::Again => return Reaction::Nothing,
-            Joining::Outdated => {
+            JoinOutcome::Joined(replaced) => replaced,
+            JoinOutcome::AlreadyJoined => return Reaction::Nothing,
+            JoinOutcome::Superseded => {
                 return self.refuse("a newer connection has joined as this proxy or collector".to_string())
             }
         };
         self.counts.joined += 1;
         if let Join::Proxy { proxy, zone, rate } = *join {
-            self.publisher.forget(proxy);
+            self.publisher.unbind(proxy);
             self.round.streams.push(Stream { proxy, up: true, zone, rate });
         }
         Reaction::Joined(replaced)
@@ -184,7 +184,7 @@
 
     fn report(&mut self, message: Message, connection: Connection, role: Role, line: &[u8]) -> Reaction {
         match (message, role) {
-            (Message::Met(met), Role::Collector(_)) => match self.register.number(&met.server) {
+            (Message::ServerReport(met), Role::Collector(_)) => match self.register.id(&met.server) {
                 None => self.counts.strange += 1,
                 Some(server) => {
                     self.counts.tries += met.tries;
@@ -207,7 +207,7 @@
             (Message::Acknowledgement(acknowledgement), Role::Proxy(proxy))
                 if acknowledgement.proxy == proxy =>
             {
-                if !self.sessions.answer(connection, acknowledgement.number) {
+                if !self.sessions.acknowledge(connection, acknowledgement.number) {
                     return self.ignore(line, "the mark was not written on this stream");
                 }
                 self.round.acknowledgements.push(acknowledgement)
@@ -221,7 +221,7 @@
     pub fn disconnected(&mut self, connection: Connection) {
         if let Some(proxy) = self.sessions.leave(connection) {
             self.counts.left += 1;
-            self.publisher.forget(proxy);
+            self.publisher.unbind(proxy);
             self.round.streams.push(Stream { proxy, up: false, zone: 0, rate: 0.0 });
         }
     }
@@ -229,9 +229,9 @@
     /// Takes in a list of servers or changes to it. Fails if it is older than the current list, or if nothing in it
     /// is usable.
     pub fn take_list(&mut self, document: &PlatformDocument, origin: Origin) -> Result<(), String> {
-        let list = self.register.take(document, origin)?;
-        if !document.mistakes.is_empty() {
-            tracing::warn!(mistakes = document.mistakes.join("; "), "invalid entries in the list of servers");
+        let list = self.register.apply(document, origin)?;
+        if !document.errors.is_empty() {
+            tracing::warn!(mistakes = document.errors.join("; "), "invalid entries in the list of servers");
         }
         self.counts.lists += 1;
         // A watch that ended without changes needs no round.
@@ -283,8 +283,8 @@
         round.now = now;
         self.counts.rounds += 1;
         self.balancer.round(&round, &mut self.publisher);
-        let (marked, name) = (self.publisher.marked(), |server| self.register.name(server));
-        let (messages, actions) = self.publisher.finish(self.sessions.proxies(), &name);
+        let (marked, name) = (self.publisher.mark_number(), |server| self.register.name(server));
+        let (messages, actions) = self.publisher.finish_round(self.sessions.proxies(), &name);
         for (after, number) in actions.timers {
             self.timers.set(now + after, number);
         }
@@ -293,7 +293,7 @@
         }
         // Taken when messages are written, as estimated demand decays between reports. With no proxy served there is
         // no demand to decay, and the log still shows the listed servers.
-        if !messages.is_empty() || !self.publisher.serves() {
+        if !messages.is_empty() || !self.publisher.has_bound_proxies() {
             self.beliefs = self.balancer.beliefs(now);
         }
         let due = |server| Some((server, self.register.process(server)?));
@@ -302,13 +302,13 @@
             self.checking.insert(*server, *process).is_none_or(|previous| previous != *process)
         };
         let checks = checks.into_iter().filter(is_new).collect();
-        let to = |(proxy, bytes)| Some((self.sessions.of(proxy)?, bytes));
+        let to = |(proxy, bytes)| Some((self.sessions.connection(proxy)?, bytes));
         let messages: Vec<_> = messages.into_iter().filter_map(to).collect();
         for (connection, mark) in messages.iter().filter_map(|(to, _)| Some((to, marked?))) {
-            self.sessions.ask(*connection, mark, now);
+            self.sessions.record_mark(*connection, mark, now);
         }
         self.counts.written += messages.len() as u64;
-        let unresponsive = self.sessions.silent(now, self.patience);
+        let unresponsive = self.sessions.silent(now, self.silence_timeout);
         self.counts.silent += unresponsive.len() as u64;
         self.counts.longest_round = self.counts.longest_round.max(started.elapsed().as_secs_f64() * 1e3);
         Effects { messages, checks, request_list: actions.follow_list || actions.fetch_list, unresponsive }
--- a/pilot/src/platform/lists.rs
+++ b/pilot/src/platform/lists.rs
@@ -3,7 +3,7 @@
 use super::Pilot;
 use futures_lite::future;
 use oatlever_reactor::Timer;
-use oatlever_roster::platform::{Missed, Origin, PlatformDocument, Watch};
+use oatlever_roster::platform::{Origin, PlatformDocument, Watch, WatchError};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
         let (mut controller, now) = (pilot.controller.borrow_mut(), pilot.clock.now());
         let older = controller.register.is_older(document);
         let since = *self.older_since.get_or_insert(now);
-        let restarted = older && document.whole && now - since > MAX_SOURCE_LAG;
+        let restarted = older && document.full && now - since > MAX_SOURCE_LAG;
         if !older || restarted {
             self.older_since = None;
         }
@@ -54,14 +54,14 @@
                 "the source has restarted its versions"
             );
         }
-        controller.take_list(document, if restarted { Origin::Anew } else { Origin::Told })
+        controller.take_list(document, if restarted { Origin::VersionReset } else { Origin::Update })
     }
 
     /// Handles an answer. Returns whether it was usable and the delay before the next request.
-    fn handle(&mut self, answer: Result<PlatformDocument, Missed>, pilot: &Pilot) -> (bool, f64) {
+    fn handle(&mut self, answer: Result<PlatformDocument, WatchError>, pilot: &Pilot) -> (bool, f64) {
         let taken = answer.and_then(|document| match self.take(&document, pilot) {
             Ok(()) => Ok(document),
-            Err(what) => Err(Missed { what, answered: true }),
+            Err(what) => Err(WatchError { message: what, answered: true }),
         });
         match taken {
             Ok(document) => {
@@ -71,13 +71,13 @@
                 // An invalid entry of an update would be lost, as the version has advanced past it, so the whole
                 // list is requested. Entries that are still invalid there are invalid at the source and accepted
                 // as such.
-                let known = document.whole && document.mistakes == self.mistakes;
-                self.whole = !document.mistakes.is_empty() && !known;
-                self.mistakes = document.mistakes;
+                let known = document.full && document.errors == self.mistakes;
+                self.whole = !document.errors.is_empty() && !known;
+                self.mistakes = document.errors;
                 self.retry_delay = RETRY_DELAY;
                 (true, if self.whole { RETRY_DELAY } else { REQUEST_DELAY })
             }
-            Err(Missed { what, answered }) => {
+            Err(WatchError { message: what, answered }) => {
                 // The source may not know the version that changes are requested for, or may send unusable changes.
                 // Requesting the whole list avoids repeating the same request for ever.
                 self.whole |= answered;
@@ -113,7 +113,7 @@
         }
         let after = pilot.controller.borrow().register.version.filter(|_| !follower.whole);
         let wait = (WATCH_WAIT, PATIENCE);
-        let answer = async { Some(watch.ask(pilot.discovery.get(), after, &zones, wait).await) };
+        let answer = async { Some(watch.poll(pilot.discovery.get(), after, &zones, wait).await) };
         let interrupted = async {
             requested.await;
             None
--- a/pilot/src/platform/mod.rs
+++ b/pilot/src/platform/mod.rs
@@ -20,7 +20,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use oatlever::round::Address;
-use oatlever_fetch::Alone;
+use oatlever_fetch::SingleThreaded;
 use oatlever_reactor::{Async, Timer};
 use oatlever_roster::platform::Origin;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -77,9 +77,14 @@
     }
 }
 
-async fn run_rounds(pilot: Rc<Pilot>, executor: Rc<LocalExecutor<'static>>, names: oatlever_instance::Names) {
+async fn run_rounds(
+    pilot: Rc<Pilot>,
+    executor: Rc<LocalExecutor<'static>>,
+    names: oatlever_instance::PlatformSettings,
+) {
     let probes = Rc::new(Probes::new(MAX_CHECKS));
-    let (tick, patience) = (Duration::from_secs_f64(names.tick), names.connect_within * CHECK_TIMEOUT_FACTOR);
+    let (tick, patience) =
+        (Duration::from_secs_f64(names.tick), names.connect_timeout * CHECK_TIMEOUT_FACTOR);
     loop {
         let listener = pilot.input.listen();
         let now = pilot.clock.now();
@@ -111,7 +116,7 @@
 }
 
 async fn check(pilot: Rc<Pilot>, server: Address, process: Process, probes: Rc<Probes>, patience: f64) {
-    let fine = probes.is_fine::<Alone>(process.0, HEALTH.to_string(), patience).await;
+    let fine = probes.is_fine::<SingleThreaded>(process.0, HEALTH.to_string(), patience).await;
     pilot.controller.borrow_mut().record_check(server, process, fine);
     pilot.wake();
 }
@@ -120,7 +125,7 @@
 ///
 /// Refuses a file with other zones or classes: it belongs to another deployment, and discovery there lists servers
 /// that this pilot's proxies must not use.
-fn reload(pilot: &Pilot, path: &Path, names: &oatlever_instance::Names) -> bool {
+fn reload(pilot: &Pilot, path: &Path, names: &oatlever_instance::PlatformSettings) -> bool {
     let same_deployment =
         |new: &Configuration| (&new.names.zones, &new.names.classes) == (&names.zones, &names.classes);
     let loaded = Configuration::load(path).and_then(|new| match same_deployment(&new) {
@@ -271,7 +276,7 @@
             (Some(_), None) if controller.serves() => tracing::info!("serves again"),
             _ => {}
         }
-        let (listed, remembered) = controller.register.sizes();
+        let (listed, remembered) = controller.register.counts();
         let (open, unjoined) = pilot.connections.sizes();
         tracing::info!(open, unjoined, listed, remembered, beliefs = ?controller.beliefs, counts = ?controller.counts, "so far");
     }
--- a/pilot/src/probes.rs
+++ b/pilot/src/probes.rs
@@ -18,10 +18,10 @@
 
     /// Whether a server answers with status 200 within `patience` seconds from the start of its check, which waits
     /// for a free slot.
-    pub async fn is_fine<N: fetch::Net>(&self, host: SocketAddr, path: String, patience: f64) -> bool {
+    pub async fn is_fine<N: fetch::Runtime>(&self, host: SocketAddr, path: String, patience: f64) -> bool {
         let _permit = self.permits.acquire().await;
         let response =
-            fetch::get::<N>(&fetch::Place { host, path }, None, patience, MAX_RESPONSE_BYTES).await;
+            fetch::get::<N>(&fetch::HttpUrl { host, path }, None, patience, MAX_RESPONSE_BYTES).await;
         response.is_ok_and(|answer| answer.status == 200)
     }
 }
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -11,9 +11,9 @@
 use oatlever::round::Address;
 use oatlever_dns::{Front, Handler, TcpConnections, TcpLimits, Transport};
 use oatlever_fetch as fetch;
-use oatlever_identity::{Files, Grant, Grants, Keys, Node, Peer, To};
+use oatlever_identity::{Grant, Grants, Node, Peer, Scope, TlsFiles, TlsKeys};
 use oatlever_reports::{Exposition, Target};
-use oatlever_roster::{Cache, Moment, Source};
+use oatlever_roster::{BootTime, Cache, Source};
 use oatlever_settings::{Settings, Tls, Xds};
 use oatlever_tables::View;
 use oatlever_xds::orca::{self, ReportHandler};
@@ -85,14 +85,14 @@
 
 impl XdsHandler {
     fn new(pilot: Rc<Pilot>, settings: &Settings, xds: &Xds) -> Self {
-        let to = |grant: &oatlever_settings::Grant| match (&grant.node, &grant.zone) {
-            (Some(node), _) => Some(To::Node(node.clone())),
-            (_, zone) => zone.clone().map(To::Zone),
+        let scope = |grant: &oatlever_settings::Grant| match (&grant.node, &grant.zone) {
+            (Some(node), _) => Some(Scope::Node(node.clone())),
+            (_, zone) => zone.clone().map(Scope::Zone),
         };
         let grants = xds
             .grants
             .iter()
-            .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), to: to(grant)? }));
+            .filter_map(|grant| Some(Grant { identity: grant.identity.clone(), scope: scope(grant)? }));
         let nodes = settings.askers.iter().enumerate();
         let nodes = nodes.filter_map(|(index, asker)| Some((asker.node.clone()?, index as u16)));
         XdsHandler { pilot, grants: Grants::new(&grants.collect::<Vec<_>>()), askers: nodes.collect() }
@@ -108,7 +108,7 @@
         let asker = *self.askers.get(node).ok_or_else(|| format!("no asker has the node {node:?}"))?;
         let core = self.pilot.core.borrow();
         let known = Node { name: node, zone: &core.settings.askers[usize::from(asker)].zone };
-        let admitted = self.grants.admit(peer, known, zone, self.unix_time());
+        let admitted = self.grants.authorize(peer, known, zone, self.unix_time());
         admitted.map(|()| asker).map_err(|denied| {
             tracing::warn!(%denied, "proxy denied");
             denied.to_string()
@@ -141,7 +141,7 @@
 
     fn zone_of(&self, server: &Address) -> Option<String> {
         let core = self.pilot.core.borrow();
-        let zone = core.book.known(server)?.zone;
+        let zone = core.book.get(server)?.zone;
         core.settings.zones.get(usize::from(zone)).cloned()
     }
 
@@ -169,10 +169,10 @@
         self.0.core.borrow().targets_version
     }
 
-    fn targets(&self) -> BTreeMap<Target, fetch::Place> {
+    fn targets(&self) -> BTreeMap<Target, fetch::HttpUrl> {
         let mut core = self.0.core.borrow_mut();
         let askers = core.settings.askers.iter().enumerate().filter_map(|(index, asker)| {
-            let endpoint = asker.metrics.as_ref().and_then(|url| fetch::Place::parse(url))?;
+            let endpoint = asker.metrics.as_ref().and_then(|url| fetch::HttpUrl::parse(url))?;
             Some((Target::Asker(index as u16), endpoint))
         });
         // A server that is gone from the list is scraped as long as a table names it: the list may be wrong, and
@@ -181,8 +181,8 @@
             core.tables.summaries().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let servers: BTreeSet<_> = core.book.members().keys().copied().chain(named).collect();
         let servers = servers.into_iter().filter_map(|server| {
-            let host = SocketAddr::V4(core.book.known(&server)?.metrics?);
-            Some((Target::Server(server), fetch::Place { host, path: "/metrics".to_string() }))
+            let host = SocketAddr::V4(core.book.get(&server)?.metrics?);
+            Some((Target::Server(server), fetch::HttpUrl { host, path: "/metrics".to_string() }))
         });
         let targets = askers.chain(servers).collect();
         core.retain_targets(&targets);
@@ -236,7 +236,7 @@
 async fn check(pilot: Rc<Pilot>, server: oatlever::round::Address, probes: Rc<Probes>) {
     let Some(checks) = pilot.core.borrow().settings.checks.clone() else { return };
     let host = SocketAddr::from((server.host, server.port));
-    let fine = probes.is_fine::<oatlever_fetch::Shared>(host, checks.path, checks.patience).await;
+    let fine = probes.is_fine::<oatlever_fetch::AsyncIo>(host, checks.path, checks.patience).await;
     let mut core = pilot.core.borrow_mut();
     core.counts.checks += 1;
     core.record_check(server, fine);
@@ -258,13 +258,13 @@
     socket.map_err(|e| format!("{setting}: cannot listen on {host} over {protocol}: {e}"))
 }
 
-fn load_keys(tls: &Tls) -> Result<Keys, String> {
-    let files = Files {
+fn load_keys(tls: &Tls) -> Result<TlsKeys, String> {
+    let files = TlsFiles {
         certificate: tls.certificate.clone().into(),
         key: tls.key.clone().into(),
         authorities: tls.authorities.clone().map(Into::into),
     };
-    Keys::load(files).map_err(|e| format!("/xds/tls: {e}"))
+    TlsKeys::load(files).map_err(|e| format!("/xds/tls: {e}"))
 }
 
 /// Waits until standard input ends; for ever if it is a file, which can't be waited for.
@@ -403,7 +403,7 @@
                 let changed = core.take_list(result, now);
                 if let Some(cache) = cache.as_ref().filter(|_| changed) {
                     // A failure to write the cache matters only to the next start.
-                    if let Err(e) = cache.save(&core.book.keep(now, Moment::now())) {
+                    if let Err(e) = cache.save(&core.book.save(now, BootTime::now())) {
                         tracing::warn!(path = %cache.0.display(), %e, "writing the cached list of servers failed");
                     }
                 }
@@ -420,7 +420,7 @@
         tasks.push(executor.spawn(orca_reports));
         let times = (roster.period, roster.patience);
         let zones = settings.zones.clone();
-        tasks.push(executor.spawn(oatlever_roster::run(source, zones, times, roster.most_bytes, sink)));
+        tasks.push(executor.spawn(oatlever_roster::poll(source, zones, times, roster.most_bytes, sink)));
         let reports = settings.reports.clone();
         let handler = ScrapeHandler(pilot.clone());
         tasks.push(executor.spawn(async move {
--- a/reports/src/reader.rs
+++ b/reports/src/reader.rs
@@ -21,7 +21,7 @@
     /// Increases with each change of the targets.
     fn targets_version(&self) -> u64;
     /// The current targets and the URL at which each is scraped.
-    fn targets(&self) -> BTreeMap<Target, fetch::Place>;
+    fn targets(&self) -> BTreeMap<Target, fetch::HttpUrl>;
     /// Receives the result of a scrape that was started at `started`.
     fn scraped(&self, target: Target, started: Instant, result: Result<Exposition, String>);
 }
@@ -34,7 +34,7 @@
 struct Schedule {
     start: Instant,
     period: f64,
-    targets: BTreeMap<Target, fetch::Place>,
+    targets: BTreeMap<Target, fetch::HttpUrl>,
     /// Offset of each target's scrapes within the period, in seconds.
     phases: BTreeMap<Target, f64>,
     queue: BTreeSet<(Instant, Target)>,
@@ -56,7 +56,7 @@
     }
 
     /// Replaces the targets; those that stay keep their phases.
-    fn set_targets(&mut self, targets: BTreeMap<Target, fetch::Place>, now: Instant) {
+    fn set_targets(&mut self, targets: BTreeMap<Target, fetch::HttpUrl>, now: Instant) {
         self.queue.retain(|(_, target)| targets.contains_key(target));
         self.phases.retain(|target, _| targets.contains_key(target));
         for target in targets.keys().filter(|target| !self.targets.contains_key(target)) {
@@ -71,7 +71,7 @@
     }
 
     /// Takes a due target off the queue and marks it as being scraped.
-    fn pop_due(&mut self, now: Instant) -> Option<(Target, fetch::Place)> {
+    fn pop_due(&mut self, now: Instant) -> Option<(Target, fetch::HttpUrl)> {
         let first = self.queue.first().copied().filter(|(due, _)| *due <= now)?;
         self.queue.remove(&first);
         self.in_progress.insert(first.1);
@@ -107,7 +107,7 @@
             let Some((target, place)) = schedule.pop_due(now) else { break };
             scrapes.push(async move {
                 let started = Instant::now();
-                let response = fetch::get::<fetch::Shared>(&place, None, timeout, max_bytes).await;
+                let response = fetch::get::<fetch::AsyncIo>(&place, None, timeout, max_bytes).await;
                 let result = match response {
                     Ok(response) if response.status == 200 => Exposition::parse(&response.body),
                     Ok(response) => Err(format!("status {}", response.status)),
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -1,14 +1,14 @@
 //! The list of servers, from documents of the Prometheus service discovery format.
 //!
-//! `document` reads one document, `book` knows who is listed and turns documents into list news,
-//! `reader` fetches them and keeps the last good list in a file. `platform` is the other list: that of the
-//! operators' platform, which is watched.
+//! `document` parses a document, `server_list` tracks the listed servers and turns documents into updates of
+//! the list, and `reader` polls the source and stores the last valid list in a file. `platform` implements
+//! the other kind of list, that of the operators' platform, which is watched for changes.
 
-mod book;
 mod document;
 pub mod platform;
 mod reader;
+mod server_list;
 
-pub use book::{Book, Member, Moment, Taken};
-pub use document::{Document, Listed, Readable};
-pub use reader::{run, Cache, Source};
+pub use document::{Completeness, Document, ServerEntry};
+pub use reader::{poll, Cache, Source};
+pub use server_list::{BootTime, Member, ServerList, Update};
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use oatlever::round::*;
-use oatlever_instance::{names, start, Node, Start};
+use oatlever_instance::{instance_settings, platform_settings, InstanceSettings, Node};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,8 +64,9 @@
 
 fn case_starts_and_keeps_the_rules(case: Case) -> bool {
     let node = Node::root(&case.settings);
-    let names = names(&node).expect("names");
-    let Start { site, classes, channel, rules } = start(&node).expect("settings that start");
+    let names = platform_settings(&node).expect("names");
+    let InstanceSettings { site, classes, channel, rules } =
+        instance_settings(&node).expect("settings that start");
     assert_eq!((names.zones.len(), names.classes.len()), (site.zones, classes.len()));
     let (zones, warm_within, max_messages) = (site.zones as u16, rules.warm_within, channel.max_messages);
     let (max_waiting, gone_binds) = (channel.max_waiting_lines, !rules.gone_does_not_bind);
@@ -177,10 +178,10 @@
         ),
         ("/tick-ms", json!(60001), "`tick-ms` is 60001, not a number from 0 to 60000"),
         ("/zones", json!([]), "`zones` is [], not a list of one zone or more"),
-        ("/zones", json!(["a", "b", "a"]), "`zones[2]` is \"a\", not another name"),
+        ("/zones", json!(["a", "b", "a"]), "`zones[2]` is \"a\", not a unique name"),
         ("/zones", json!([""]), "`zones[0]` is \"\", not a name of 1 to 256 bytes"),
         ("/lanes", json!([]), "`lanes` is [], not a list of 1 to 16 classes"),
-        ("/lanes/0/name", json!(7), "`lanes[0].name` is 7, not a text"),
+        ("/lanes/0/name", json!(7), "`lanes[0].name` is 7, not a string"),
         ("/lanes/0/slo-ms", json!(0), "`lanes[0].slo-ms` is 0, not a number above 0"),
         ("/lanes/0", json!(3), "is missing in `lanes[0]`"),
         ("/family-info", json!([]), "is missing in `family-info`"),
@@ -189,13 +190,17 @@
         let mut invalid = valid.clone();
         *invalid.pointer_mut(path).expect(path) = value;
         let node = Node::root(&invalid);
-        let message =
-            names(&node).map(drop).and_then(|()| start(&node).map(drop)).expect_err(path).to_string();
+        let message = platform_settings(&node)
+            .map(drop)
+            .and_then(|()| instance_settings(&node).map(drop))
+            .expect_err(path)
+            .to_string();
         assert!(message.contains(expected), "got `{message}`, expected `{expected}`");
     }
     let mut without_window = valid;
     without_window["family-info"]["reloads-max"] = json!(12);
     without_window["family-info"]["update-window-ms"] = json!(0);
-    let message = start(&Node::root(&without_window)).expect_err("update window of 0").to_string();
+    let message =
+        instance_settings(&Node::root(&without_window)).expect_err("update window of 0").to_string();
     assert!(message.contains("`family-info.update-window-ms` is 0, not a number above 0"), "{message}");
 }
--- a/xds/src/server.rs
+++ b/xds/src/server.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Response};
 use oatlever::round::Address;
-use oatlever_identity::{Keys, Peer};
+use oatlever_identity::{Peer, TlsKeys};
 use oatlever_tables::View;
 use smol_hyper::rt::FuturesIo;
 use std::cell::{Cell, RefCell};
@@ -84,7 +84,7 @@
     connections: Cell<usize>,
     changed: Rc<Event>,
     /// Connections use TLS if there are keys, and are in plain text otherwise.
-    keys: Option<RefCell<Keys>>,
+    keys: Option<RefCell<TlsKeys>>,
     pub counts: RefCell<Counts>,
 }
 
@@ -172,7 +172,7 @@
         limits: Limits,
         changed: Rc<Event>,
         epoch: u64,
-        keys: Option<Keys>,
+        keys: Option<TlsKeys>,
     ) -> Rc<Self> {
         Rc::new(Server {
             backend,
@@ -300,7 +300,7 @@
     pub fn reload_keys(&self) {
         let Some(keys) = &self.keys else { return };
         let mut counts = self.counts.borrow_mut();
-        match keys.borrow_mut().refresh() {
+        match keys.borrow_mut().reload() {
             Ok(false) => {}
             Ok(true) => {
                 tracing::info!("TLS keys reloaded");
@@ -333,7 +333,7 @@
             session: RefCell::new(Session::new(variant)),
             variant,
             opened_at: self.backend.now(),
-            expires_at: peer.map_or(f64::INFINITY, |peer| peer.until),
+            expires_at: peer.map_or(f64::INFINITY, |peer| peer.expires_at),
             status: RefCell::default(),
             wake: Event::new(),
             acknowledged: Cell::new(0),
@@ -598,7 +598,7 @@
                     Err(status) => break status,
                 },
             };
-            if let Some(expired) = peer.as_ref().and_then(|peer| server.check_expiry(peer.until)) {
+            if let Some(expired) = peer.as_ref().and_then(|peer| server.check_expiry(peer.expires_at)) {
                 break expired;
             }
             let reports = report.cluster_stats.iter().filter_map(load::read);
@@ -675,7 +675,7 @@
 /// The identity in the client certificate, which the handshake has verified; `None` without a certificate.
 fn peer_identity(connection: &ServerConnection) -> Result<Option<Rc<Peer>>, String> {
     let certificate = connection.peer_certificates().and_then(|chain| chain.first());
-    certificate.map(|certificate| Peer::read(certificate).map(Rc::new)).transpose()
+    certificate.map(|certificate| Peer::from_der(certificate).map(Rc::new)).transpose()
 }
 
 /// Serves an accepted connection, over TLS if the server has keys.
--- a/xds/tests/front/harness.rs
+++ b/xds/tests/front/harness.rs
@@ -6,7 +6,7 @@
 use futures_lite::{future, AsyncRead, AsyncWrite};
 use hyper::body::{Bytes, Incoming};
 use oatlever::round::{Address, Writer};
-use oatlever_identity::{Grants, Keys, Node as GrantedNode, Peer};
+use oatlever_identity::{Grants, Node as GrantedNode, Peer, TlsKeys};
 use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use oatlever_xds::grpc::{framed, Reader};
 use oatlever_xds::{call, methods, serve, Backend, Class, Limits, LoadReport, Server};
@@ -54,7 +54,7 @@
         let granted = GrantedNode { name: node, zone: if asker.is_multiple_of(2) { "even" } else { "odd" } };
         self.0
             .grants
-            .admit(peer, granted, zone, self.unix_time())
+            .authorize(peer, granted, zone, self.unix_time())
             .map(|()| asker)
             .map_err(|denied| denied.to_string())
     }
@@ -138,7 +138,7 @@
 
 /// Like [`run`], over TLS and with grants.
 pub fn run_with_tls<F: Future<Output = ()>>(
-    keys: Option<Keys>,
+    keys: Option<TlsKeys>,
     grants: Grants,
     test: impl FnOnce(Rc<Fixture>) -> F,
 ) {
@@ -147,7 +147,7 @@
 
 fn run_with<F: Future<Output = ()>>(
     response_timeout: f64,
-    keys: Option<Keys>,
+    keys: Option<TlsKeys>,
     grants: Grants,
     test: impl FnOnce(Rc<Fixture>) -> F,
 ) {
--- a/xds/tests/front/identities.rs
+++ b/xds/tests/front/identities.rs
@@ -7,7 +7,7 @@
 use futures_rustls::rustls::{crypto::ring, ClientConfig, RootCertStore};
 use futures_rustls::TlsConnector;
 use oatlever::round::Writer;
-use oatlever_identity::{Files, Grant, Grants, Keys, To};
+use oatlever_identity::{Grant, Grants, Scope, TlsFiles, TlsKeys};
 use oatlever_xds::grpc::{framed, Code};
 use oatlever_xds::methods;
 use rcgen::string::Ia5String;
@@ -64,9 +64,9 @@
         KeyDir(path)
     }
 
-    fn files(&self) -> Files {
+    fn files(&self) -> TlsFiles {
         let path = |name: &str| self.0.join(name);
-        Files {
+        TlsFiles {
             certificate: path("pilot.pem"),
             key: path("pilot.key"),
             authorities: Some(path("proxies.pem")),
@@ -127,11 +127,11 @@
 }
 
 fn grants() -> Grants {
-    let grant = |identity: &str, to: To| Grant { identity: identity.into(), to };
+    let grant = |identity: &str, scope: Scope| Grant { identity: identity.into(), scope };
     Grants::new(&[
-        grant("spiffe://shops/even/*", To::Zone("even".into())),
-        grant("odd.shops.test", To::Zone("odd".into())),
-        grant("spiffe://shops/one", To::Node("relay-8".into())),
+        grant("spiffe://shops/even/*", Scope::Zone("even".into())),
+        grant("odd.shops.test", Scope::Zone("odd".into())),
+        grant("spiffe://shops/one", Scope::Node("relay-8".into())),
     ])
 }
 
@@ -140,7 +140,7 @@
 fn a_proxy_connects_only_as_a_node_that_its_certificate_grants() {
     let (key_dir, pilots, proxies) = (KeyDir::new("grants"), Authority::new(), Authority::new());
     key_dir.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    run_with_tls(Some(Keys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
+    run_with_tls(Some(TlsKeys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
         let even = proxies.sign("spiffe://shops/even/4", DAY);
         let odd = proxies.sign("odd.shops.test", DAY);
         let one = proxies.sign("spiffe://shops/one", DAY);
@@ -219,7 +219,7 @@
 fn key_changes_do_not_interrupt_streams() {
     let (key_dir, pilots, proxies) = (KeyDir::new("renew"), Authority::new(), Authority::new());
     key_dir.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    run_with_tls(Some(Keys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
+    run_with_tls(Some(TlsKeys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
         let even = proxies.sign("spiffe://shops/even/4", DAY);
         let mut old = discover(&fixture, &pilots, Some(&even), "relay-4").await.unwrap();
         old.accept(&["search"]).await;
@@ -257,7 +257,7 @@
 fn a_stream_ends_when_its_certificate_expires() {
     let (key_dir, pilots, proxies) = (KeyDir::new("expiry"), Authority::new(), Authority::new());
     key_dir.write(&pilots.sign("pilot.test", DAY), &proxies.pem());
-    run_with_tls(Some(Keys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
+    run_with_tls(Some(TlsKeys::load(key_dir.files()).unwrap()), grants(), |fixture| async move {
         // The validity of certificates has a resolution of one second.
         let even = proxies.sign("spiffe://shops/even/4", Duration::from_secs(3));
         let mut call = discover(&fixture, &pilots, Some(&even), "relay-4").await.unwrap();
