--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,5 +1,6 @@
 //! Random number generator of a pilot: a permuted congruential generator (PCG-XSH-RR 64/32).
 
+/// A seeded generator, so that runs can be repeated.
 pub struct Rng {
     state: u64,
 }
--- a/src/round.rs
+++ b/src/round.rs
@@ -19,18 +19,23 @@
     }
 }
 
+/// A class of queries.
 #[derive(Clone, Debug)]
 pub struct QueryClass {
+    /// Relative benefit of an answer; the least beneficial classes are refused first.
     pub benefit: f64,
+    /// s; answers are expected within this time.
     pub due_time: f64,
 }
 
 /// How proxies enforce the admission level of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelKind {
+    /// As a share of its queries.
     Share,
     /// As a number of queries a second at each proxy.
     Rate,
+    /// Not at all.
     Ignored,
 }
 
@@ -42,13 +47,17 @@
     /// Number of proxies of all pilots together.
     pub proxies: f64,
     pub slices: usize,
+    /// Whether a slice may have only one server at a time.
     pub exclusive_owner: bool,
+    /// Whether the list is sent only on request instead of being pushed.
     pub list_on_request: bool,
+    /// Whether the pilot may check the health of servers.
     pub probes: bool,
     pub level_kind: LevelKind,
     /// Whether a proxy draws two servers by weight and picks the one with fewer of its own queries in flight.
     pub power_of_two_choices: bool,
     pub report_period: f64,
+    /// The longest time that a write may take at the server that it was sent to.
     pub max_write_duration: f64,
 }
 
@@ -56,7 +65,9 @@
 #[derive(Clone, Debug)]
 pub struct Channel {
     pub lines_per_second: f64,
+    /// Lines that may wait in the channel.
     pub max_waiting_lines: f64,
+    /// Cost of a message besides its lines, in lines.
     pub header_lines: f64,
     /// Messages to one proxy within `window`; 0 means no limit.
     pub max_messages: usize,
@@ -68,13 +79,19 @@
 /// Parameters of the rules that every order must keep.
 #[derive(Clone, Debug)]
 pub struct Rules {
+    /// Where the list is sent on request: the longest time that may pass without an answer.
     pub list_deadline: f64,
+    /// Share of its capacity that a server has when it starts.
     pub cold_share: f64,
+    /// Time after its start until a server has its full capacity.
     pub warm_within: f64,
+    /// Multiple of its present capacity at which a cold server fails.
     pub fall_multiple: f64,
+    /// Whether a server that the list drops may still be used if it answers.
     pub gone_does_not_bind: bool,
 }
 
+/// State of a server according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     Gone,
@@ -82,6 +99,7 @@
     Draining,
 }
 
+/// A server as listed.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub server: Address,
@@ -93,14 +111,20 @@
     pub started: f64,
 }
 
+/// What a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// The servers that changed.
     Changes,
+    /// All servers.
     Full,
+    /// All servers, from a stored copy.
     Cached,
+    /// Nothing: the request failed.
     Failed,
 }
 
+/// A list of servers, or a part of it.
 #[derive(Clone, Debug)]
 pub struct List {
     pub kind: ListKind,
@@ -138,12 +162,14 @@
     pub span: f64,
 }
 
+/// Result of a health check.
 #[derive(Clone, Debug)]
 pub struct HealthCheckResult {
     pub server: Address,
     pub healthy: bool,
 }
 
+/// A proxy has received the message marked with this number.
 #[derive(Clone, Debug)]
 pub struct Acknowledgement {
     pub proxy: u16,
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,6 +4,7 @@
 use crate::sums::DecayingSum;
 use std::collections::{BTreeMap, VecDeque};
 
+/// A server and the measurements of its tries.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub zone: usize,
@@ -84,17 +85,21 @@
     }
 }
 
+/// A proxy and its reported usage.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     pub zone: usize,
-    /// The group it belongs to; `usize::MAX`, or any other number without a group, if none yet.
+    /// The group it belongs to; a number for which there is no group means none yet.
     pub group: usize,
+    /// Whether its stream is up.
     pub joined: bool,
+    /// Whether it has been sent a table.
     pub bound: bool,
     /// Queries a second that it usually receives.
     pub rate: f64,
     /// Queries received, by class.
     pub received: Vec<DecayingSum>,
+    /// Start of the first span reported since it joined.
     pub measured_since: Option<f64>,
     /// When messages were written to it within the window of the message cap.
     pub sent_at: VecDeque<f64>,
@@ -110,11 +115,13 @@
         }
     }
 
+    /// Records a message to it.
     pub fn record_sent(&mut self, now: f64, window: f64) {
         self.sent_at.retain(|at| now - at < window);
         self.sent_at.push_back(now);
     }
 
+    /// Number of messages to it after `at`.
     pub fn sent_since(&self, at: f64) -> usize {
         self.sent_at.iter().rev().take_while(|sent| **sent > at).count()
     }
@@ -217,7 +224,7 @@
     pub max_listed_size: f64,
     /// Tries a second that ended in an answer or a failure.
     pub completed_tries: f64,
-    /// Queries a second that the joined proxies usually bring, and when it last jumped.
+    /// Queries a second that the joined proxies usually bring, and when that last grew at once.
     pub usual_rate: f64,
     pub usual_grew_at: Option<f64>,
 }
@@ -268,7 +275,7 @@
     current: Mark,
     /// Level of a leaky bucket that limits the long-term rate of ordinary lines.
     pub ordinary_lines: f64,
-    last_settled_at: f64,
+    last_drained_at: f64,
     last_acknowledged_at: f64,
 }
 
@@ -319,8 +326,8 @@
         if now - self.last_acknowledged_at > timeout {
             self.marks.clear();
         }
-        self.ordinary_lines = (self.ordinary_lines - (now - self.last_settled_at) * rate).max(0.0);
-        self.last_settled_at = now;
+        self.ordinary_lines = (self.ordinary_lines - (now - self.last_drained_at) * rate).max(0.0);
+        self.last_drained_at = now;
     }
 
     /// Lines that may still wait in the channel.
--- a/src/sums.rs
+++ b/src/sums.rs
@@ -1,5 +1,6 @@
 //! Exponentially decaying sums, brought up to date when they are read or added to, and medians.
 
+/// An exponentially decaying sum.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSum {
     span: f64,
@@ -18,6 +19,7 @@
         self.at = now;
     }
 
+    /// The sum as decayed until `now`.
     pub fn read(&self, now: f64) -> f64 {
         if self.sum == 0.0 {
             return 0.0;
--- a/tests/joins.rs
+++ b/tests/joins.rs
@@ -74,7 +74,7 @@
     let before = harness.state.share_of_all(7);
     run_reports(&mut harness, now, ORDERED_WITHIN, |n| if n == 7 { 2.0 } else { 0.2 });
     let after = harness.state.share_of_all(7);
-    assert!(after < 0.8 * before, "its part was {before} and is {after}");
+    assert!(after < 0.8 * before, "its share was {before} and is {after}");
 }
 
 #[test]
@@ -108,5 +108,5 @@
     let before = harness.state.share_of_all(7);
     run_reports(&mut harness, now, ORDERED_WITHIN, |n| if n == 7 { 2.0 } else { 0.2 });
     let after = harness.state.share_of_all(7);
-    assert!(after < 0.8 * before, "its part was {before} and is {after}");
+    assert!(after < 0.8 * before, "its share was {before} and is {after}");
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -365,7 +365,7 @@
 }
 
 /// Reports of one second: each proxy received `received` queries, six servers answered 10 each in `time`.
-fn second(now: f64, proxies: u16, received: f64, time: f64) -> Round {
+fn report_second(now: f64, proxies: u16, received: f64, time: f64) -> Round {
     let mut round = round_at(now);
     let query = |proxy| ProxyQueries { proxy, class: 0, received, span: 1.0 };
     round.queries = (0..proxies).map(query).collect();
@@ -385,12 +385,12 @@
     let join = |proxy: u16| Stream { rate: 30.0, ..join(proxy, proxy % 2) };
     harness.round(&initial_round(100.0, ready_servers(6, 2), vec![join(0), join(1)]));
     for n in 1..=12 {
-        harness.round(&second(100.0 + f64::from(n), 2, 30.0, 0.5));
+        harness.round(&report_second(100.0 + f64::from(n), 2, 30.0, 0.5));
     }
     let before = min_level(&harness.state);
     assert!(before > 0.7 && before < 1.0, "{before}");
     for n in 13..=15 {
-        let mut round = second(100.0 + f64::from(n), 4, 30.0, 0.5);
+        let mut round = report_second(100.0 + f64::from(n), 4, 30.0, 0.5);
         round.streams = if n == 13 { vec![join(2), join(3)] } else { Vec::new() };
         harness.round(&round);
     }
@@ -405,14 +405,14 @@
     let mut harness = Harness::new(site(), rules(), channel(0));
     harness.round(&initial_round(100.0, ready_servers(6, 2), vec![join(0, 0), join(1, 1)]));
     for n in 1..=10 {
-        harness.round(&second(100.0 + f64::from(n), 2, 30.0, 0.2));
+        harness.round(&report_second(100.0 + f64::from(n), 2, 30.0, 0.2));
     }
     let share = harness.state.share(0, 0);
     for n in 1..=20 {
         harness.round(&round_at(110.0 + 0.25 * f64::from(n)));
     }
     for n in 16..=22 {
-        harness.round(&second(100.0 + f64::from(n), 2, 30.0, 0.2));
+        harness.round(&report_second(100.0 + f64::from(n), 2, 30.0, 0.2));
         assert_eq!(min_level(&harness.state), 1.0, "after {n} s");
         assert!((harness.state.share(0, 0) - share).abs() < 0.05, "{:?}", harness.state.tables);
     }
@@ -424,7 +424,7 @@
     let mut harness = Harness::new(site(), rules(), channel(0));
     harness.round(&initial_round(100.0, ready_servers(6, 2), vec![join(0, 0), join(1, 1)]));
     for n in 1..=16 {
-        harness.round(&second(100.0 + f64::from(n), 2, if n > 8 { 60.0 } else { 20.0 }, 0.2));
+        harness.round(&report_second(100.0 + f64::from(n), 2, if n > 8 { 60.0 } else { 20.0 }, 0.2));
         assert_eq!(min_level(&harness.state), 1.0, "after {n} s");
     }
 }
@@ -436,7 +436,7 @@
     let mut harness = Harness::new(site(), rules(), channel(0));
     harness.round(&initial_round(100.0, ready_servers(6, 2), vec![join(0, 0), join(1, 1)]));
     for n in 1..=16 {
-        let mut round = second(100.0 + f64::from(n), 2, 30.0, 0.25);
+        let mut round = report_second(100.0 + f64::from(n), 2, 30.0, 0.25);
         for (tries, time) in round.tries.iter_mut().zip([0.25, 0.25, 0.3, 0.45, 0.0, 0.0]) {
             tries.time = time;
             (tries.tries, tries.failed) = if n > 6 && time == 0.0 { (6.0, 6.0) } else { (tries.tries, 0.0) };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -186,7 +186,7 @@
         let table = state.bound.get(proxy).map(|t| state.table(*t));
         assert!(
             table.is_some_and(|t| !t.is_empty()),
-            "proxy {proxy}, joined at {since}, has no line at {now}"
+            "proxy {proxy}, joined at {since}, has an empty table at {now}"
         );
     }
     // The grace period is two seconds, including half a second for delivery.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -23,7 +23,7 @@
 }
 
 fn choose<T: Copy>(g: &mut Gen, all: &[T]) -> T {
-    *g.choose(all).expect("there are some")
+    *g.choose(all).expect("empty slice")
 }
 
 impl Arbitrary for Case {
@@ -119,7 +119,7 @@
         if servers.values().any(warm) {
             for proxy in joined.keys() {
                 let table = state.bound.get(proxy).map(|table| state.table(*table)).unwrap_or_default();
-                assert!(!table.is_empty(), "proxy {proxy} has no line");
+                assert!(!table.is_empty(), "proxy {proxy} has an empty table");
             }
         }
         let used: BTreeSet<Address> =
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -203,14 +203,14 @@
     }
     fn bind(&mut self, proxy: u16, table: u16) {
         self.bound.insert(proxy, table);
-        let held = self.table(table).len() + self.levels.keys().filter(|k| k.0 == table).count();
-        *self.lines.entry(proxy).or_default() += 1.0 + held as f64;
+        let table_lines = self.table(table).len() + self.levels.keys().filter(|k| k.0 == table).count();
+        *self.lines.entry(proxy).or_default() += 1.0 + table_lines as f64;
     }
     fn withdraw(&mut self, _: Address, _: bool) {}
-    fn set_level(&mut self, table: u16, classes: u16, level: f64, tries: u8) {
+    fn set_level(&mut self, table: u16, classes: u16, level: f64, retry: u8) {
         assert!(level >= 0.0 && (self.levels_are_rates || level <= 1.0), "level {level}");
         self.count_line(table);
-        self.levels.insert((table, classes), (level, tries));
+        self.levels.insert((table, classes), (level, retry));
     }
     fn check_health(&mut self, server: Address) {
         self.requested_checks.push(server);
