--- a/benches/src/plans.rs
+++ b/benches/src/plans.rs
@@ -1,6 +1,6 @@
 //! What a plan costs, by the size of the fleet, and how far from the best possible it is at most.
 
-use oatlever_cost::{plan, Class, Link, Model, Pool, Steady};
+use oatlever_cost::{plan, Class, Link, Model, Pool, PreviousPlan};
 use std::time::Instant;
 
 /// s
@@ -40,7 +40,7 @@
         let (mut anew, mut after, mut over, mut gap) = (Vec::new(), Vec::new(), Vec::new(), 0.0_f64);
         for _ in 0..PLANS {
             let mut model = model(&mut chance, zones, prices, classes);
-            let timed = |model: &Model, steady: Option<Steady>, times: &mut Vec<f64>| {
+            let timed = |model: &Model, steady: Option<PreviousPlan>, times: &mut Vec<f64>| {
                 let begun = Instant::now();
                 let found = plan(model, steady, PATIENCE).expect("a plan");
                 times.push(begun.elapsed().as_secs_f64() * 1e3);
@@ -49,7 +49,7 @@
             let first = timed(&model, None, &mut anew);
             gap = gap.max(first.gap());
             model.pools[0].price *= 1.5;
-            timed(&model, Some(Steady { flows: &first.flows, price: 0.01 }), &mut after);
+            timed(&model, Some(PreviousPlan { flows: &first.flows, move_price: 0.01 }), &mut after);
             model.demand.iter_mut().flatten().for_each(|demand| *demand *= 2.0);
             let full = timed(&model, None, &mut over);
             assert!(!full.faults.is_empty());
--- a/cost/src/carry.rs
+++ b/cost/src/capacity.rs
@@ -36,7 +36,7 @@
 
 /// What came of a zone's servers in a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Met {
+pub struct ZoneObservation {
     /// Weight of its servers, cold ones by the part that they have warmed.
     pub weight: f64,
     /// Queries a second.
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Zone {
+struct ZoneServers {
     /// Queries a second for a unit of weight, faded.
     load: f64,
     failed: f64,
@@ -57,34 +57,34 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Carry {
+pub struct CapacityEstimator {
     stated: Option<f64>,
     /// s; answers should take no longer.
     most_time: f64,
     /// What it began with.
     first: Option<f64>,
     figure: Option<f64>,
-    zones: BTreeMap<usize, Zone>,
+    zones: BTreeMap<usize, ZoneServers>,
     at: f64,
     /// Some zone was near what is allowed before.
     found: bool,
 }
 
-impl Carry {
+impl CapacityEstimator {
     /// `stated` is what the operators say that a unit of weight carries at most, queries a second; `due_time` the
     /// tightest of all classes, s.
     pub fn new(stated: Option<f64>, due_time: Option<f64>) -> Self {
         let most_time = due_time.map_or(f64::INFINITY, |due_time| due_time * LATE);
-        Carry { stated, most_time, first: stated, figure: stated, ..Carry::default() }
+        CapacityEstimator { stated, most_time, first: stated, figure: stated, ..CapacityEstimator::default() }
     }
 
     /// Queries a second for a unit of weight; none before anything was seen or stated.
-    pub fn figure(&self) -> Option<f64> {
+    pub fn estimate(&self) -> Option<f64> {
         self.figure
     }
 
     /// Takes in a report, by zone.
-    pub fn hear(&mut self, met: &BTreeMap<usize, Met>, now: f64) {
+    pub fn observe(&mut self, met: &BTreeMap<usize, ZoneObservation>, now: f64) {
         let since = if self.at > 0.0 { (now - self.at).clamp(0.0, SPAN) } else { 0.0 };
         self.at = now;
         for (place, met) in met.iter().filter(|(_, met)| met.weight > 0.0) {
@@ -93,7 +93,7 @@
             let time = if met.time > 0.0 { Some(met.time) } else { None };
             let Some(zone) = self.zones.get_mut(place) else {
                 let time = time.unwrap_or(0.0);
-                self.zones.insert(*place, Zone { load, failed, time, usual: time, at: now });
+                self.zones.insert(*place, ZoneServers { load, failed, time, usual: time, at: now });
                 continue;
             };
             let new = 1.0 - (-(now - zone.at).max(0.0) / SPAN).exp();
@@ -115,13 +115,13 @@
             }
             return;
         };
-        let busy: Vec<&Zone> = self.zones.values().filter(|zone| zone.load >= BUSY * figure).collect();
+        let busy: Vec<&ZoneServers> = self.zones.values().filter(|zone| zone.load >= BUSY * figure).collect();
         if busy.is_empty() {
             // What was stated is gone back to where nobody tells otherwise.
             self.figure = self.stated.map(|stated| figure + (stated - figure) * DOWN * since).or(self.figure);
             return;
         }
-        let way = |zone: &&Zone| {
+        let way = |zone: &&ZoneServers| {
             let allowed = (SLOW * zone.usual).min(self.most_time).max(f64::MIN_POSITIVE);
             (1.0 - zone.time / allowed - zone.failed / FAILING).clamp(-1.0, 0.5)
         };
--- a/cost/src/lib.rs
+++ b/cost/src/lib.rs
@@ -4,13 +4,13 @@
 //! how good it is, [`Planner`] decides what is taken for demand and capacity and when a plan goes out.
 //! `docs/notes/0004-cost.md` weighs the options.
 
-mod carry;
+mod capacity;
 mod model;
 mod plan;
 mod planner;
 mod program;
 
-pub use carry::{Carry, Met};
+pub use capacity::{CapacityEstimator, ZoneObservation};
 pub use model::{Class, Link, Model, Pool, Source};
-pub use plan::{moved, plan, Fault, Flow, Plan, Steady};
-pub use planner::{Decided, Figures, Planner, Without, Zone};
+pub use plan::{moved_work, plan, Flow, Plan, PreviousPlan, Shortage};
+pub use planner::{Decision, NoPlan, Planner, PlannerConfig, ZoneServers};
--- a/cost/src/model.rs
+++ b/cost/src/model.rs
@@ -14,7 +14,7 @@
     /// What an answer is worth.
     #[schemars(range(min = 0.0, max = 1e9))]
     pub benefit: f64,
-    /// s one way; it may go no farther. Without one, anywhere.
+    /// s one way; it may go no farther. NoPlan one, anywhere.
     #[serde(default)]
     pub reach: Option<f64>,
 }
@@ -80,7 +80,7 @@
 
 impl Model {
     /// Errors: what is wrong, and where, as a JSON pointer says it.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let (zones, classes) = (self.zones.len(), self.classes.len());
         let amount = |at: String, found: f64| {
             let fits = found.is_finite() && found >= 0.0;
@@ -134,7 +134,7 @@
     }
 
     /// What a unit of a source's work costs in a pool; none where it may not go there.
-    pub fn price(&self, source: Source, pool: usize) -> Option<f64> {
+    pub fn unit_cost(&self, source: Source, pool: usize) -> Option<f64> {
         let (to, class) = (&self.pools[pool], &self.classes[source.class]);
         let link = self.link(source.zone, to.zone);
         let near = class.reach.is_none_or(|reach| link.time <= reach);
@@ -143,7 +143,7 @@
     }
 
     /// Units of work a second that a plan may ask of a pool.
-    pub fn usable(&self, pool: usize) -> f64 {
+    pub fn usable_capacity(&self, pool: usize) -> f64 {
         self.pools[pool].capacity * (1.0 - self.headroom)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Benefit of a unit of a class's work.
-    pub fn worth(&self, class: usize) -> f64 {
+    pub fn benefit_per_work(&self, class: usize) -> f64 {
         self.classes[class].benefit / self.classes[class].work
     }
 }
--- a/cost/src/plan.rs
+++ b/cost/src/plan.rs
@@ -17,7 +17,7 @@
 
 /// Sources that together ask for more than all pools they may go to can carry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fault {
+pub struct Shortage {
     pub sources: Vec<Source>,
     /// The pools that they may go to: these are full.
     pub pools: Vec<usize>,
@@ -41,7 +41,7 @@
     /// Work a second that goes elsewhere than in the plan before.
     pub moved: f64,
     /// Empty where everything fits.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<Shortage>,
 }
 
 /// Part of the whole work under which an amount counts as nothing: well over the solver's rounding.
@@ -55,10 +55,10 @@
 
 /// What moving a unit of work to another pool costs, and where it goes now.
 #[derive(Clone, Copy, Debug)]
-pub struct Steady<'a> {
+pub struct PreviousPlan<'a> {
     pub flows: &'a [Flow],
     /// For a unit of work a second that is sent elsewhere: what the plan must save a second to be worth it.
-    pub price: f64,
+    pub move_price: f64,
 }
 
 /// Ways and sources of a model, in the solver's order.
@@ -73,17 +73,18 @@
 }
 
 impl<'a> Network<'a> {
-    fn of(model: &'a Model, before: Option<Steady>, patience: f64) -> Self {
+    fn of(model: &'a Model, before: Option<PreviousPlan>, patience: f64) -> Self {
         let sources = model.sources();
         let held = before.map_or_else(BTreeMap::new, |before| by_way(before.flows));
-        let more = before.map_or(0.0, |before| before.price);
-        let prices =
-            sources.iter().flat_map(|(source, _)| (0..model.pools.len()).map(|p| model.price(*source, p)));
+        let more = before.map_or(0.0, |before| before.move_price);
+        let prices = sources
+            .iter()
+            .flat_map(|(source, _)| (0..model.pools.len()).map(|p| model.unit_cost(*source, p)));
         let dearest = prices.flatten().fold(0.0, f64::max).max(f64::MIN_POSITIVE);
         let mut ways = Vec::new();
         for (place, (source, _)) in sources.iter().enumerate() {
             for pool in 0..model.pools.len() {
-                let Some(price) = model.price(*source, pool) else { continue };
+                let Some(price) = model.unit_cost(*source, pool) else { continue };
                 let away = source.zone != model.pools[pool].zone;
                 let price = if away { price + HOME * dearest } else { price };
                 let way = Way { source: place, pool, price, most: None };
@@ -93,7 +94,7 @@
                 ways.push(Way { price: price + more, ..way });
             }
         }
-        let pools = (0..model.pools.len()).map(|pool| model.usable(pool)).collect();
+        let pools = (0..model.pools.len()).map(|pool| model.usable_capacity(pool)).collect();
         let whole: f64 = sources.iter().map(|(_, work)| work).sum();
         Network { model, sources, ways, pools, whole, dearest: dearest + more, patience }
     }
@@ -120,8 +121,8 @@
         let (prices, refused_price) = (&answer.pool_prices, answer.refused_price);
         let mut least = vec![f64::INFINITY; self.sources.len()];
         for way in self.ways.iter() {
-            // Without what moving costs: the plan is held against the best possible.
-            let price = self.model.price(self.sources[way.source].0, way.pool).unwrap_or(f64::INFINITY);
+            // NoPlan what moving costs: the plan is held against the best possible.
+            let price = self.model.unit_cost(self.sources[way.source].0, way.pool).unwrap_or(f64::INFINITY);
             least[way.source] = least[way.source].min(price + prices[way.pool]);
         }
         let refusing = |n: usize| refusal.map_or(f64::INFINITY, |(counted, _)| refused_price * counted[n]);
@@ -156,7 +157,7 @@
 
     /// Sources that can't be served and all that they crowd out: from what is refused, to the pools it may go
     /// to, to the sources in them, and on. All those pools are full, or more would be let in.
-    fn faults(&self, flows: &BTreeMap<(usize, usize), f64>, refused: &[f64]) -> Vec<Fault> {
+    fn faults(&self, flows: &BTreeMap<(usize, usize), f64>, refused: &[f64]) -> Vec<Shortage> {
         let may: BTreeSet<(usize, usize)> = self.ways.iter().map(|way| (way.source, way.pool)).collect();
         let (mut seen, mut faults) = (BTreeSet::<usize>::new(), Vec::new());
         for start in (0..refused.len()).filter(|n| refused[*n] > 0.0) {
@@ -180,7 +181,7 @@
                 let (source, _) = self.sources[*n];
                 (source, refused[*n] / self.model.classes[source.class].work)
             };
-            faults.push(Fault {
+            faults.push(Shortage {
                 sources: sources.iter().map(|n| self.sources[*n].0).collect(),
                 pools: pools.into_iter().collect(),
                 missing: (asked - room).max(0.0),
@@ -194,8 +195,8 @@
 /// The cheapest plan that asks no pool for more than it may carry; where not all fits, the cheapest of those that
 /// refuse the least benefit. Moves count at their price, where there was a plan before. Each of up to three solves
 /// may take `patience` s. Errors: what is wrong with the model, or the solver's word.
-pub fn plan(model: &Model, before: Option<Steady>, patience: f64) -> Result<Plan, String> {
-    model.check()?;
+pub fn plan(model: &Model, before: Option<PreviousPlan>, patience: f64) -> Result<Plan, String> {
+    model.validate()?;
     let network = Network::of(model, before, patience);
     if network.sources.is_empty() {
         let pool_prices = vec![0.0; model.pools.len()];
@@ -206,7 +207,8 @@
     // ways cost together is done only where there is no room.
     let chain = network.sources.len().min(network.pools.len()) as f64 + 1.0;
     let mut answer = network.solve(|_| 2.0 * chain * network.dearest, false, None)?;
-    let worths: Vec<f64> = network.sources.iter().map(|(source, _)| model.worth(source.class)).collect();
+    let worths: Vec<f64> =
+        network.sources.iter().map(|(source, _)| model.benefit_per_work(source.class)).collect();
     // What is worth nothing still is not refused for nothing.
     let least = worths.iter().copied().fold(0.0, f64::max).max(1.0) * NOTHING;
     let counted: Vec<f64> = worths.iter().map(|worth| worth.max(least)).collect();
@@ -224,7 +226,7 @@
         work: *work,
     };
     let flows: Vec<Flow> = tidy.iter().map(flow).collect();
-    let price = |flow: &Flow| model.price(flow.source, flow.pool).unwrap_or(0.0) * flow.work;
+    let price = |flow: &Flow| model.unit_cost(flow.source, flow.pool).unwrap_or(0.0) * flow.work;
     let queries = |(place, work): (usize, &f64)| {
         let (source, _) = network.sources[place];
         (*work > 0.0).then(|| (source, work / model.classes[source.class].work))
@@ -232,7 +234,7 @@
     Ok(Plan {
         cost: flows.iter().map(price).sum(),
         bound: network.bound(&answer, refusal),
-        moved: before.map_or(0.0, |before| moved(before.flows, &flows)),
+        moved: before.map_or(0.0, |before| moved_work(before.flows, &flows)),
         faults: network.faults(&tidy, &refused),
         refused: refused.iter().enumerate().filter_map(queries).collect(),
         pool_prices: answer.pool_prices,
@@ -247,7 +249,7 @@
 }
 
 /// Work a second that some flows bring where others did not.
-pub fn moved(before: &[Flow], after: &[Flow]) -> f64 {
+pub fn moved_work(before: &[Flow], after: &[Flow]) -> f64 {
     let held = by_way(before);
     let more = |flow: &Flow| flow.work - held.get(&(flow.source, flow.pool)).copied().unwrap_or(0.0);
     after.iter().map(|flow| more(flow).max(0.0)).sum()
--- a/cost/src/planner.rs
+++ b/cost/src/planner.rs
@@ -1,9 +1,9 @@
 //! From what was heard to a plan for the decisions: what counts as demand and capacity, when flows move, and when
 //! there is no plan.
 
-use crate::carry::{Carry, Met};
+use crate::capacity::{CapacityEstimator, ZoneObservation};
 use crate::model::{Class, Link, Model, Pool, Source};
-use crate::plan::{plan, Flow, Plan, Steady};
+use crate::plan::{plan, Flow, Plan, PreviousPlan};
 use oatlever::round;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,8 @@
 /// The planner's figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Figures {
+#[schemars(rename = "Figures")]
+pub struct PlannerConfig {
     /// Queries a second that a unit of listed weight can carry at most; learnt from what is seen where left out.
     #[schemars(range(min = 0.000001, max = 1e9))]
     pub carries: Option<f64>,
@@ -36,9 +37,9 @@
     pub stale: f64,
 }
 
-impl Default for Figures {
+impl Default for PlannerConfig {
     fn default() -> Self {
-        Figures {
+        PlannerConfig {
             carries: None,
             headroom: 0.2,
             move_price: 1.0,
@@ -52,14 +53,14 @@
 
 /// What the servers of a zone are worth to a plan now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Zone {
+pub struct ZoneServers {
     /// Weight of those that may be sent to, cold ones by the part that they have warmed.
     pub weight: f64,
 }
 
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Without {
+pub enum NoPlan {
     /// Nothing is known of what servers carry, or of the demand, or it is too old.
     Unknown,
     /// Demand does not fit: the plan that refuses the least, for people to see.
@@ -70,11 +71,11 @@
 
 /// A plan for the decisions, and how it was come by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Decided {
+pub struct Decision {
     /// What it was made for.
     pub model: Model,
     pub plan: Plan,
-    pub orders: round::Plan,
+    pub routing: round::Plan,
 }
 
 /// Part of the tightest due time that the way to a server, there and back, may take: the rest is the answer's.
@@ -88,12 +89,12 @@
 
 #[derive(Clone, Debug)]
 pub struct Planner {
-    pub figures: Figures,
+    pub config: PlannerConfig,
     prices: Vec<f64>,
     links: Vec<Vec<Link>>,
     /// s one way; queries go no farther.
     reach: Option<f64>,
-    pub carry: Carry,
+    pub capacity: CapacityEstimator,
     /// Queries a second by asker, faded.
     rates: BTreeMap<u16, f64>,
     heard_at: Option<f64>,
@@ -104,21 +105,26 @@
 impl Planner {
     /// `prices` are for a query answered, by zone; `links` from zone to zone; `due_time` is the tightest of all
     /// classes, s, as they share their tables.
-    pub fn new(figures: Figures, prices: Vec<f64>, links: Vec<Vec<Link>>, due_time: Option<f64>) -> Self {
+    pub fn new(
+        config: PlannerConfig,
+        prices: Vec<f64>,
+        links: Vec<Vec<Link>>,
+        due_time: Option<f64>,
+    ) -> Self {
         let reach = due_time.map(|due_time| due_time * WAY / 2.0);
-        let carry = Carry::new(figures.carries, due_time);
+        let capacity = CapacityEstimator::new(config.carries, due_time);
         let (rates, heard_at, parts) = Default::default();
-        Planner { figures, prices, links, reach, carry, rates, heard_at, parts }
+        Planner { config, prices, links, reach, capacity, rates, heard_at, parts }
     }
 
     /// Takes in what a round brought of queries and tries, with the zones that servers are in and what they
     /// weigh.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         queries: &[round::ProxyQueries],
         tries: &[round::Tries],
         zone_of: impl Fn(&round::Address) -> Option<usize>,
-        zones: &[Zone],
+        zones: &[ZoneServers],
         now: f64,
     ) {
         let queries = queries.iter().filter(|one| one.span > 0.0);
@@ -138,8 +144,10 @@
         if tries.is_empty() {
             return;
         }
-        let place = |(place, zone): (usize, &Zone)| (place, Met { weight: zone.weight, ..Met::default() });
-        let mut met: BTreeMap<usize, Met> = zones.iter().enumerate().map(place).collect();
+        let place = |(place, zone): (usize, &ZoneServers)| {
+            (place, ZoneObservation { weight: zone.weight, ..ZoneObservation::default() })
+        };
+        let mut met: BTreeMap<usize, ZoneObservation> = zones.iter().enumerate().map(place).collect();
         for one in tries.iter().filter(|one| one.span > 0.0) {
             let Some(zone) = zone_of(&one.server).and_then(|zone| met.get_mut(&zone)) else { continue };
             let answered = (one.tries - one.failed).max(0.0) / one.span;
@@ -148,22 +156,22 @@
             zone.time += one.time * answered;
         }
         met.values_mut().filter(|zone| zone.answered > 0.0).for_each(|zone| zone.time /= zone.answered);
-        self.carry.hear(&met, now);
+        self.capacity.observe(&met, now);
     }
 
     /// A zone's price changed under way.
-    pub fn reprice(&mut self, zone: usize, price: f64) {
+    pub fn set_price(&mut self, zone: usize, price: f64) {
         if let Some(held) = self.prices.get_mut(zone) {
             *held = price;
         }
     }
 
     /// Forgets an asker that is away.
-    pub fn leave(&mut self, asker: u16) {
+    pub fn remove_asker(&mut self, asker: u16) {
         self.rates.remove(&asker);
     }
 
-    fn model(&self, demand: &[f64], zones: &[Zone], carry: f64) -> Model {
+    fn model(&self, demand: &[f64], zones: &[ZoneServers], carry: f64) -> Model {
         let one = Class { name: String::new(), work: 1.0, benefit: 1.0, reach: self.reach };
         let pool = |(zone, price): (usize, &f64)| Pool {
             zone,
@@ -177,7 +185,7 @@
             pools: self.prices.iter().enumerate().map(pool).collect(),
             links: self.links.clone(),
             demand: demand.iter().map(|demand| vec![demand.max(IDLE)]).collect(),
-            headroom: self.figures.headroom,
+            headroom: self.config.headroom,
         }
     }
 
@@ -185,43 +193,48 @@
     pub fn plan(
         &mut self,
         zone_of: impl Fn(u16) -> usize,
-        zones: &[Zone],
+        zones: &[ZoneServers],
         now: f64,
-    ) -> Result<Decided, Without> {
+    ) -> Result<Decision, NoPlan> {
         let decided = self.decide(zone_of, zones, now);
-        self.parts = decided.as_ref().ok().map(|decided| decided.orders.parts.clone());
+        self.parts = decided.as_ref().ok().map(|decided| decided.routing.parts.clone());
         decided
     }
 
-    fn decide(&self, zone_of: impl Fn(u16) -> usize, zones: &[Zone], now: f64) -> Result<Decided, Without> {
-        let (Some(carry), Some(heard)) = (self.carry.figure(), self.heard_at) else {
-            return Err(Without::Unknown);
+    fn decide(
+        &self,
+        zone_of: impl Fn(u16) -> usize,
+        zones: &[ZoneServers],
+        now: f64,
+    ) -> Result<Decision, NoPlan> {
+        let (Some(carry), Some(heard)) = (self.capacity.estimate(), self.heard_at) else {
+            return Err(NoPlan::Unknown);
         };
         let age = (now - heard).max(0.0);
-        if age > self.figures.stale || zones.iter().all(|zone| zone.weight <= 0.0) {
-            return Err(Without::Unknown);
+        if age > self.config.stale || zones.iter().all(|zone| zone.weight <= 0.0) {
+            return Err(NoPlan::Unknown);
         }
         let mut demand = vec![0.0; zones.len()];
         for (asker, rate) in &self.rates {
             if let Some(zone) = demand.get_mut(zone_of(*asker)) {
-                *zone += rate * (1.0 + self.figures.growth * age);
+                *zone += rate * (1.0 + self.config.growth * age);
             }
         }
         let model = self.model(&demand, zones, carry);
         let held = self.parts.as_ref().map(|parts| self.flows(&model, parts));
-        let price = self.figures.move_price / self.figures.pays_within;
-        let steady = held.as_ref().map(|flows| Steady { flows, price });
-        let plan = plan(&model, steady, PATIENCE).map_err(Without::Unsolved)?;
+        let move_price = self.config.move_price / self.config.pays_within;
+        let steady = held.as_ref().map(|flows| PreviousPlan { flows, move_price });
+        let plan = plan(&model, steady, PATIENCE).map_err(NoPlan::Unsolved)?;
         if !plan.faults.is_empty() {
-            return Err(Without::Over(Box::new(plan)));
+            return Err(NoPlan::Over(Box::new(plan)));
         }
         let target = self.parts_of(&model, &plan);
         let parts = match &self.parts {
             Some(parts) if self.carries(&model, parts) => self.steps(parts, &target),
             _ => target,
         };
-        let orders = round::Plan { parts, carries: carry * (1.0 - self.figures.headroom) };
-        Ok(Decided { model, plan, orders })
+        let routing = round::Plan { parts, carries: carry * (1.0 - self.config.headroom) };
+        Ok(Decision { model, plan, routing })
     }
 
     /// Flows that parts stand for, at a model's demand.
@@ -247,14 +260,14 @@
     fn carries(&self, model: &Model, parts: &[Vec<f64>]) -> bool {
         let flows = self.flows(model, parts);
         let load = |pool| flows.iter().filter(|flow| flow.pool == pool).map(|flow| flow.work).sum::<f64>();
-        (0..model.pools.len()).all(|pool| load(pool) <= model.usable(pool))
+        (0..model.pools.len()).all(|pool| load(pool) <= model.usable_capacity(pool))
     }
 
     /// A step of the way, for zones whose queries would move by more at once.
     fn steps(&self, from: &[Vec<f64>], to: &[Vec<f64>]) -> Vec<Vec<f64>> {
         let zone = |(from, to): (&Vec<f64>, &Vec<f64>)| -> Vec<f64> {
             let moved: f64 = from.iter().zip(to).map(|(from, to)| (to - from).max(0.0)).sum();
-            let way = (self.figures.step / moved.max(f64::MIN_POSITIVE)).min(1.0);
+            let way = (self.config.step / moved.max(f64::MIN_POSITIVE)).min(1.0);
             from.iter().zip(to).map(|(from, to)| from + (to - from) * way).collect()
         };
         from.iter().zip(to).map(zone).collect()
--- a/cost/tests/plans.rs
+++ b/cost/tests/plans.rs
@@ -1,6 +1,6 @@
 //! Plans against brute force on small fleets, against their certificates on all, and the hard cases.
 
-use oatlever_cost::{plan, Class, Link, Model, Plan, Pool, Steady};
+use oatlever_cost::{plan, Class, Link, Model, Plan, Pool, PreviousPlan};
 use std::collections::BTreeMap;
 
 /// s
@@ -53,9 +53,11 @@
                 }
             };
             for (room, (lost, cost)) in &states {
-                reach(room.clone(), (lost + model.worth(source.class), *cost));
+                reach(room.clone(), (lost + model.benefit_per_work(source.class), *cost));
                 for pool in 0..room.len() {
-                    let Some(price) = model.price(source, pool).filter(|_| room[pool] > 0) else { continue };
+                    let Some(price) = model.unit_cost(source, pool).filter(|_| room[pool] > 0) else {
+                        continue;
+                    };
                     let mut room = room.clone();
                     room[pool] -= 1;
                     reach(room, (*lost, cost + price));
@@ -76,7 +78,7 @@
 /// What any plan must keep, by a plain recount.
 fn kept(model: &Model, plan: &Plan) {
     for pool in 0..model.pools.len() {
-        let (load, room) = (plan.load(pool), model.usable(pool));
+        let (load, room) = (plan.load(pool), model.usable_capacity(pool));
         assert!(load <= room + 1e-5 * (1.0 + room), "pool {pool}: {load} of {room}\n{model:?}");
     }
     for (source, work) in model.sources() {
@@ -85,7 +87,7 @@
         let all = placed + refused * model.classes[source.class].work;
         assert!((all - work).abs() <= 1e-6 * (1.0 + work), "{source:?}: {all} of {work}");
     }
-    assert!(plan.flows.iter().all(|flow| model.price(flow.source, flow.pool).is_some()));
+    assert!(plan.flows.iter().all(|flow| model.unit_cost(flow.source, flow.pool).is_some()));
 }
 
 #[test]
@@ -106,9 +108,9 @@
         for fault in &found.faults {
             // Those sources ask for more than all pools that they may go to can carry, by what is refused.
             let asked: f64 = fault.sources.iter().map(|s| model.demand[s.zone][s.class]).sum();
-            let may = |pool: &usize| fault.sources.iter().any(|s| model.price(*s, *pool).is_some());
+            let may = |pool: &usize| fault.sources.iter().any(|s| model.unit_cost(*s, *pool).is_some());
             let pools: Vec<usize> = (0..model.pools.len()).filter(may).collect();
-            let room: f64 = pools.iter().map(|pool| model.usable(*pool)).sum();
+            let room: f64 = pools.iter().map(|pool| model.usable_capacity(*pool)).sum();
             let refused: f64 = fault.refused.iter().map(|(_, queries)| queries).sum();
             assert_eq!(pools, fault.pools);
             assert!(
@@ -158,18 +160,18 @@
         assert!(found.faults.is_empty() && found.gap() < 1e-4, "{}", found.gap());
         let pools = 0..model.pools.len();
         let least = |source| {
-            let ways = pools.clone().filter_map(|p| Some(model.price(source, p)? + found.pool_prices[p]));
+            let ways = pools.clone().filter_map(|p| Some(model.unit_cost(source, p)? + found.pool_prices[p]));
             ways.fold(f64::INFINITY, f64::min)
         };
         let from: f64 = model.sources().iter().map(|(source, work)| work * least(*source)).sum();
-        let to: f64 = pools.clone().map(|p| found.pool_prices[p] * model.usable(p)).sum();
+        let to: f64 = pools.clone().map(|p| found.pool_prices[p] * model.usable_capacity(p)).sum();
         assert!((from - to - found.bound).abs() < 1e-6 * found.bound, "{from} {to} {}", found.bound);
         // A unit more of a pool saves what its price says, as far as a small step goes.
         let pool = pools.max_by(|a, b| found.pool_prices[*a].total_cmp(&found.pool_prices[*b])).unwrap();
         let mut more = model.clone();
         more.pools[pool].capacity *= 1.001;
         let saved = found.cost - plan(&more, None, PATIENCE).unwrap().cost;
-        let told = found.pool_prices[pool] * (more.usable(pool) - model.usable(pool));
+        let told = found.pool_prices[pool] * (more.usable_capacity(pool) - model.usable_capacity(pool));
         assert!((saved - told).abs() <= 0.05 * told + 1e-6 * found.cost, "{saved} {told}");
     }
 }
@@ -216,14 +218,15 @@
     let mut chance = fastrand::Rng::with_seed(8);
     let mut model = fleet(&mut chance, 3, 2, 2);
     let first = plan(&model, None, PATIENCE).unwrap();
-    let again = plan(&model, Some(Steady { flows: &first.flows, price: 0.01 }), PATIENCE).unwrap();
+    let again = plan(&model, Some(PreviousPlan { flows: &first.flows, move_price: 0.01 }), PATIENCE).unwrap();
     let whole: f64 = first.flows.iter().map(|flow| flow.work).sum();
     assert!(again.moved < 1e-4 * whole, "{} of {whole}", again.moved);
     for (dearer, moves) in [(0.05, false), (4.0, true)] {
         let used = (0..6).max_by(|a, b| first.load(*a).total_cmp(&first.load(*b))).unwrap();
         let mut changed = model.clone();
         changed.pools[used].price += dearer;
-        let next = plan(&changed, Some(Steady { flows: &first.flows, price: 0.5 }), PATIENCE).unwrap();
+        let next =
+            plan(&changed, Some(PreviousPlan { flows: &first.flows, move_price: 0.5 }), PATIENCE).unwrap();
         assert_eq!(next.moved > 0.01 * whole, moves, "{dearer}: {}", next.moved);
         assert!(next.cost + 0.5 * next.moved <= plan_cost(&changed, &first) + 1e-4 * next.cost);
     }
@@ -239,5 +242,5 @@
 }
 
 fn plan_cost(model: &Model, plan: &Plan) -> f64 {
-    plan.flows.iter().map(|flow| model.price(flow.source, flow.pool).unwrap() * flow.work).sum()
+    plan.flows.iter().map(|flow| model.unit_cost(flow.source, flow.pool).unwrap() * flow.work).sum()
 }
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -133,7 +133,7 @@
     let price = price.ok_or("a price must be a number of 0 or more")?;
     let index = core.settings.zone(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
     let planning = core.planning.as_mut().ok_or("the settings have no /costs")?;
-    planning.planner.reprice(usize::from(index), price);
+    planning.planner.set_price(usize::from(index), price);
     tracing::warn!(zone, price, "zone price changed by command");
     Ok(json!({"zone": zone, "price": price}))
 }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -162,7 +162,7 @@
                 r,
                 "plan_carries",
                 "Queries per second that a unit of weight carries",
-                decided.orders.carries,
+                decided.routing.carries,
             );
         }
     }
--- a/pilot/src/plan.rs
+++ b/pilot/src/plan.rs
@@ -58,7 +58,7 @@
     let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| with_path(&e))?;
     let mut model: Model = serde_json::from_str(&text).map_err(|e| with_path(&e))?;
-    model.check().map_err(|e| with_path(&e))?;
+    model.validate().map_err(|e| with_path(&e))?;
     let before = plan(&model, None, PATIENCE).map_err(|e| with_path(&e))?;
     options.apply(&mut model)?;
     let after = plan(&model, None, PATIENCE).map_err(|e| with_path(&e))?;
@@ -77,7 +77,7 @@
     writeln!(out, "{:24} {:16} {:>12} {:>10}", "from", "to", "queries/s", "cost/s")?;
     for flow in &after.flows {
         let queries = flow.work / model.classes[flow.source.class].work;
-        let cost = model.price(flow.source, flow.pool).unwrap_or(0.0) * flow.work;
+        let cost = model.unit_cost(flow.source, flow.pool).unwrap_or(0.0) * flow.work;
         let to = &model.zones[model.pools[flow.pool].zone];
         writeln!(out, "{:24} {to:16} {queries:12.2} {cost:10.2}", source(&flow.source))?;
     }
@@ -87,7 +87,7 @@
         "servers", "load", "usable", "full", "one more unit saves"
     )?;
     for (index, pool) in model.pools.iter().enumerate() {
-        let (load, usable) = (after.load(index), model.usable(index));
+        let (load, usable) = (after.load(index), model.usable_capacity(index));
         let full = 100.0 * load / usable.max(f64::MIN_POSITIVE);
         let name = format!("{} at {}", model.zones[pool.zone], pool.price);
         writeln!(out, "{name:16} {load:10.2} {usable:10.2} {full:5.0}% {:22.4}", after.pool_prices[index])?;
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -1,7 +1,7 @@
 //! Runs the cost planner on each round's reports and describes its last plan on `/status`.
 
 use oatlever::round::{Plan, Readiness, Round};
-use oatlever_cost::{Decided, Planner, Without, Zone};
+use oatlever_cost::{Decision, NoPlan, Planner, ZoneServers};
 use oatlever_roster::Book;
 use oatlever_settings::Settings;
 use serde_json::{json, Value};
@@ -13,15 +13,15 @@
     /// Number of plans by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
     /// The last plan, and when it was made, s.
-    pub last: Option<(f64, Result<Decided, Without>)>,
+    pub last: Option<(f64, Result<Decision, NoPlan>)>,
 }
 
-fn outcome(plan: &Result<Decided, Without>) -> &'static str {
+fn outcome(plan: &Result<Decision, NoPlan>) -> &'static str {
     match plan {
         Ok(_) => "planned",
-        Err(Without::Unknown) => "unknown",
-        Err(Without::Over(_)) => "over",
-        Err(Without::Unsolved(_)) => "unsolved",
+        Err(NoPlan::Unknown) => "unknown",
+        Err(NoPlan::Over(_)) => "over",
+        Err(NoPlan::Unsolved(_)) => "unsolved",
     }
 }
 
@@ -44,13 +44,13 @@
         settings: &Settings,
     ) -> Option<Plan> {
         for stream in round.streams.iter().filter(|stream| !stream.up) {
-            self.planner.leave(stream.proxy);
+            self.planner.remove_asker(stream.proxy);
         }
         if round.queries.is_empty() && round.tries.is_empty() && round.lists.is_empty() {
             return None;
         }
         let (now, rules) = (round.now, &settings.rules);
-        let mut zones = vec![Zone::default(); settings.zones.len()];
+        let mut zones = vec![ZoneServers::default(); settings.zones.len()];
         for member in book.members().values().filter(|member| member.readiness == Readiness::Ready) {
             let is_cold = member.started > 0.0 && now - member.started < rules.warm_within;
             let warmed = if is_cold { (now - member.started).max(0.0) / rules.warm_within } else { 1.0 };
@@ -60,7 +60,7 @@
             }
         }
         let zone_of_server = |server: &_| book.known(server).map(|member| usize::from(member.zone));
-        self.planner.hear(&round.queries, &round.tries, zone_of_server, &zones, now);
+        self.planner.observe(&round.queries, &round.tries, zone_of_server, &zones, now);
         let plan = self.planner.plan(|asker| usize::from(zone_of(asker)), &zones, now);
         let (name, previous) = (outcome(&plan), self.last.as_ref().map(|(_, last)| outcome(last)));
         if previous != Some(name) {
@@ -68,7 +68,7 @@
                 Ok(decided) => {
                     tracing::info!(cost = decided.plan.cost, bound = decided.plan.bound, "plan made")
                 }
-                Err(Without::Over(over)) => {
+                Err(NoPlan::Over(over)) => {
                     let missing: f64 = over.faults.iter().map(|fault| fault.missing).sum();
                     tracing::warn!(missing, "no plan: demand exceeds capacity");
                 }
@@ -76,7 +76,7 @@
             }
         }
         *self.outcomes.entry(name).or_default() += 1;
-        let orders = plan.as_ref().map_or_else(|_| Plan::default(), |decided| decided.orders.clone());
+        let orders = plan.as_ref().map_or_else(|_| Plan::default(), |decided| decided.routing.clone());
         self.last = Some((now, plan));
         Some(orders)
     }
@@ -85,24 +85,24 @@
     pub fn explain(&self, settings: &Settings, now: f64) -> Value {
         let Some((at, plan)) = &self.last else { return Value::Null };
         let mut value =
-            json!({"outcome": outcome(plan), "ago": now - at, "carries": self.planner.carry.figure()});
+            json!({"outcome": outcome(plan), "ago": now - at, "carries": self.planner.capacity.estimate()});
         match plan {
             Ok(decided) => {
                 let row = |parts: &Vec<f64>| -> serde_json::Map<String, Value> {
                     settings.zones.iter().cloned().zip(parts.iter().map(|part| json!(part))).collect()
                 };
-                let parts = settings.zones.iter().cloned().zip(decided.orders.parts.iter().map(row));
+                let parts = settings.zones.iter().cloned().zip(decided.routing.parts.iter().map(row));
                 value["parts"] = parts.map(|(zone, row)| (zone, Value::Object(row))).collect();
                 let plan = &decided.plan;
                 (value["cost"], value["bound"], value["gap"]) =
                     (json!(plan.cost), json!(plan.bound), json!(plan.gap()));
                 (value["pool_prices"], value["model"]) = (json!(plan.pool_prices), json!(decided.model));
             }
-            Err(Without::Over(over)) => {
+            Err(NoPlan::Over(over)) => {
                 (value["faults"], value["refused"]) = (json!(over.faults), json!(over.refused));
             }
-            Err(Without::Unsolved(what)) => value["why"] = json!(what),
-            Err(Without::Unknown) => {}
+            Err(NoPlan::Unsolved(what)) => value["why"] = json!(what),
+            Err(NoPlan::Unknown) => {}
         }
         value
     }
--- a/settings/src/shape.rs
+++ b/settings/src/shape.rs
@@ -52,7 +52,7 @@
     #[serde(default)]
     pub links: Vec<Way>,
     #[serde(default)]
-    pub figures: oatlever_cost::Figures,
+    pub figures: oatlever_cost::PlannerConfig,
 }
 
 /// The way between two zones, there and back alike.
