--- a/benches/src/verdicts.rs
+++ b/benches/src/verdicts.rs
@@ -1,7 +1,7 @@
 //! What a verdict of the guard costs, by the size of the fleet and by the change, beside a recount.
 
 use crate::fleet::server;
-use oatlever_guard::{parts, Figures, Guard, Lines, Listed, Loads, Mode, Server, State};
+use oatlever_guard::{normalize, Guard, GuardConfig, ListStatus, Loads, Mode, Server, State, Weights};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -12,37 +12,37 @@
 fn state(servers: u16, tables: u16) -> State {
     let ready = |n: u16| Server {
         zone: n % 3,
-        listed: Listed::Ready,
-        listed_at: 0.0,
+        list_status: ListStatus::Ready,
+        status_changed_at: 0.0,
         weight: 1.0,
         started: 0.0,
         answered_at: Some(1000.0),
         failed_at: None,
-        checked: None,
-        proven: 10.0,
+        last_check: None,
+        proven_rate: 10.0,
     };
     State {
         now: 1000.0,
         servers: (0..servers).map(|n| (server(n), ready(n))).collect(),
         demand: (0..tables).map(|table| (table, 10.0 * f64::from(servers) / f64::from(tables))).collect(),
         measured_at: 1000.0,
-        failing: 0.0,
+        failure_rate: 0.0,
         cold_share: 0.2,
         warm_within: 100.0,
         fall_multiple: 2.5,
-        gone_binds: false,
+        drain_gone: false,
     }
 }
 
 /// us of a verdict, median and 99th, where so many lines change.
 fn verdicts(servers: u16, tables: u16, change: u16) -> (f64, f64) {
     let mut state = state(servers, tables);
-    let mut guard = Guard::new(Figures::default(), Mode::Enforce, WAY);
+    let mut guard = Guard::new(GuardConfig::default(), Mode::Enforce, WAY);
     let mut chance = fastrand::Rng::with_seed(1);
-    let mut all: Vec<Lines> =
+    let mut all: Vec<Weights> =
         (0..tables).map(|_| (0..servers).map(|n| (server(n), 1.0 + chance.f64())).collect()).collect();
     for (table, lines) in all.iter().enumerate() {
-        guard.judge(&state, table as u16, lines);
+        guard.evaluate(&state, table as u16, lines);
     }
     let mut times = Vec::new();
     for n in 0..VERDICTS {
@@ -52,7 +52,7 @@
             all[table].insert(server(chance.u16(..servers)), 1.0 + chance.f64());
         }
         let begun = Instant::now();
-        black_box(guard.judge(&state, table as u16, &all[table]));
+        black_box(guard.evaluate(&state, table as u16, &all[table]));
         times.push(begun.elapsed().as_secs_f64() * 1e6);
     }
     times.sort_by(f64::total_cmp);
@@ -65,9 +65,9 @@
     let mut chance = fastrand::Rng::with_seed(2);
     for version in 0..3 {
         for table in 0..tables {
-            let lines: Lines = (0..servers).map(|n| (server(n), 1.0 + chance.f64())).collect();
-            let laid = parts(&lines);
-            index.lay(table, &laid, 100.0 + f64::from(version), WAY);
+            let lines: Weights = (0..servers).map(|n| (server(n), 1.0 + chance.f64())).collect();
+            let laid = normalize(&lines);
+            index.publish(table, &laid, 100.0 + f64::from(version), WAY);
             plain.push((table, laid));
         }
     }
@@ -78,8 +78,8 @@
         }
         begun.elapsed().as_secs_f64() * 1e6
     };
-    (0..tables).for_each(|table| index.demand(table, 1.0));
-    let ours = time(&|n| index.others(0, &server(n)));
+    (0..tables).for_each(|table| index.set_demand(table, 1.0));
+    let ours = time(&|n| index.load_from_others(0, &server(n)));
     let recount = time(&|n| {
         let mut most = vec![0.0_f64; usize::from(tables)];
         for (table, lines) in &plain {
--- a/guard/src/relief.rs
+++ b/guard/src/admission.rs
@@ -14,26 +14,26 @@
 
 /// The part of a table's queries that is let in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Relief {
-    pub part: f64,
+pub struct AdmissionLimit {
+    pub share: f64,
     at: f64,
 }
 
-impl Relief {
-    pub fn none(now: f64) -> Self {
-        Relief { part: 1.0, at: now }
+impl AdmissionLimit {
+    pub fn unlimited(now: f64) -> Self {
+        AdmissionLimit { share: 1.0, at: now }
     }
 
     /// There is room for `fits` of the queries, and `failing` of all tries failed lately.
-    pub fn follow(&mut self, fits: f64, failing: f64, now: f64) {
+    pub fn update(&mut self, fits: f64, failing: f64, now: f64) {
         let back = RETURN * (now - self.at).max(0.0);
         self.at = now;
         let strained = failing > STRAINED && fits < 1.0;
-        self.part = if strained { self.part.min(fits) } else { (self.part + back).min(1.0) };
+        self.share = if strained { self.share.min(fits) } else { (self.share + back).min(1.0) };
     }
 
     /// Levels by class: the classes of the least benefit are refused first (the design's line of benefit).
     pub fn levels(&self, benefit: &[f64], demand: &[f64]) -> Vec<f64> {
-        levels(self.part, benefit, demand)
+        levels(self.share, benefit, demand)
     }
 }
--- a/guard/src/checks.rs
+++ b/guard/src/checks.rs
@@ -1,7 +1,7 @@
 //! What may be wrong with a table. Each check stands by itself and tells its finding in figures.
 
-use crate::state::{Figures, Server, State};
-use crate::{part, Lines, Loads};
+use crate::state::{GuardConfig, Server, State};
+use crate::{part, Loads, Weights};
 use oatlever::round::Address;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -59,10 +59,10 @@
     pub check: Check,
     /// The servers concerned, the worst first; a few of them.
     pub servers: Vec<Address>,
-    pub found: f64,
+    pub value: f64,
     pub limit: f64,
     /// s; the age of the oldest news it rests on.
-    pub age: f64,
+    pub data_age: f64,
 }
 
 /// Servers told in a finding.
@@ -70,7 +70,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (found, limit) = (self.found, self.limit);
+        let (found, limit) = (self.value, self.limit);
         match self.check {
             Check::NotFinite => write!(f, "{found} weights are no finite numbers of 0 or more"),
             Check::Emptied => write!(f, "no line is left while {found} servers serve"),
@@ -101,7 +101,7 @@
         if !told.is_empty() {
             write!(f, " ({})", told.join(", "))?;
         }
-        write!(f, ", by news {:.1} s old", self.age)
+        write!(f, ", by news {:.1} s old", self.data_age)
     }
 }
 
@@ -109,23 +109,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pin {
     pub server: Address,
-    pub least: f64,
-    pub most: f64,
+    pub min_share: f64,
+    pub max_share: f64,
     /// s, on the pilot's clock.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 /// A table as it would be, beside what it is judged by.
-pub struct Sight<'a> {
+pub struct CheckContext<'a> {
     pub state: &'a State,
-    pub figures: &'a Figures,
+    pub config: &'a GuardConfig,
     pub loads: &'a Loads,
     pub pins: &'a [Pin],
     pub table: u16,
     /// As laid last, by parts.
-    pub before: &'a Lines,
+    pub before: &'a Weights,
     /// As it was about `window` ago, by parts.
-    pub earlier: &'a Lines,
+    pub earlier: &'a Weights,
     pub typical: Option<f64>,
     /// Zones that other tables go to, once all that are on their way are laid.
     pub elsewhere: &'a BTreeSet<u16>,
@@ -141,7 +141,7 @@
 }
 
 impl Greatest {
-    pub fn of(parts: &Lines) -> Self {
+    pub fn of(parts: &Weights) -> Self {
         let mut found = Greatest { first: None, parts: (0.0, 0.0) };
         for (server, part) in parts {
             if *part > found.parts.0 {
@@ -163,19 +163,19 @@
     }
 }
 
-impl Sight<'_> {
+impl CheckContext<'_> {
     fn server(&self, server: &Address) -> Option<&Server> {
         self.state.servers.get(server)
     }
 
     /// It may be sent to, and is shown to serve.
-    pub fn is_open(&self, server: &Address) -> bool {
-        self.server(server).is_some_and(|s| self.state.is_open(s, self.figures))
+    pub fn is_available(&self, server: &Address) -> bool {
+        self.server(server).is_some_and(|s| self.state.is_available(s, self.config))
     }
 
     fn finding(&self, check: Check, servers: Vec<Address>, found: f64, limit: f64) -> Finding {
-        let age = (self.state.now - self.state.measured_at).max(0.0);
-        Finding { check, servers: servers.into_iter().take(TOLD).collect(), found, limit, age }
+        let data_age = (self.state.now - self.state.measured_at).max(0.0);
+        Finding { check, servers: servers.into_iter().take(TOLD).collect(), value: found, limit, data_age }
     }
 
     /// That there are servers of which this holds; their number is what was found.
@@ -192,7 +192,7 @@
     }
 
     /// The parts of a table by zone.
-    fn by_zone(&self, lines: &Lines) -> BTreeMap<u16, f64> {
+    fn by_zone(&self, lines: &Weights) -> BTreeMap<u16, f64> {
         let mut parts = BTreeMap::new();
         for (server, part) in lines {
             if let Some(s) = self.server(server) {
@@ -204,23 +204,23 @@
 
     /// Queries a second that may come to a server if the table gives it this part.
     pub fn load(&self, server: &Address, part: f64) -> f64 {
-        let others = self.loads.others(self.table, server) * self.state.grown(self.figures);
-        let most = part.max(self.loads.most(self.table, server));
-        others + most * self.state.expected(self.table, self.figures)
+        let others = self.loads.load_from_others(self.table, server) * self.state.demand_growth(self.config);
+        let most = part.max(self.loads.max_share(self.table, server));
+        others + most * self.state.expected_demand(self.table, self.config)
     }
 
     /// The part of this table that a server may have beside what other tables ask of it; none where nothing
     /// is known of capacities, or nothing comes.
     pub fn room(&self, server: &Address) -> Option<f64> {
-        let whole = self.state.expected(self.table, self.figures);
-        let capacity = self.state.capacity(self.server(server)?, self.typical, self.figures)?;
-        let others = self.loads.others(self.table, server) * self.state.grown(self.figures);
+        let whole = self.state.expected_demand(self.table, self.config);
+        let capacity = self.state.capacity(self.server(server)?, self.typical, self.config)?;
+        let others = self.loads.load_from_others(self.table, server) * self.state.demand_growth(self.config);
         (whole > 0.0).then(|| ((capacity - others) / whole).max(0.0))
     }
 
     /// Pins that hold now.
     fn pins(&self) -> impl Iterator<Item = &Pin> {
-        self.pins.iter().filter(|pin| pin.until > self.state.now)
+        self.pins.iter().filter(|pin| pin.expires_at > self.state.now)
     }
 
     /// The pin on a server that holds now.
@@ -228,17 +228,17 @@
         self.pins().find(|pin| pin.server == *server)
     }
 
-    pub fn not_finite(&self, proposed: &Lines) -> Option<Finding> {
+    pub fn not_finite(&self, proposed: &Weights) -> Option<Finding> {
         let odd = proposed.iter().filter(|(_, weight)| !weight.is_finite() || **weight < 0.0);
         self.counted(Check::NotFinite, odd.map(|(server, _)| *server).collect())
     }
 
     /// Servers that could be sent to.
     fn open(&self) -> impl Iterator<Item = (&Address, &Server)> {
-        self.state.servers.iter().filter(|(_, s)| self.state.is_open(s, self.figures))
+        self.state.servers.iter().filter(|(_, s)| self.state.is_available(s, self.config))
     }
 
-    pub fn emptied(&self, parts: &Lines) -> Option<Finding> {
+    pub fn emptied(&self, parts: &Weights) -> Option<Finding> {
         // A table that never had lines is not emptied.
         if !parts.is_empty() || self.before.is_empty() {
             return None;
@@ -246,7 +246,7 @@
         self.counted(Check::Emptied, self.open().map(|(server, _)| *server).collect())
     }
 
-    pub fn cold_only(&self, parts: &Lines) -> Option<Finding> {
+    pub fn cold_only(&self, parts: &Weights) -> Option<Finding> {
         let warm = |server: &Address| self.server(server).is_none_or(|s| self.state.is_warm(s));
         if parts.is_empty() || parts.keys().any(warm) {
             return None;
@@ -258,20 +258,20 @@
     /// What was taken from servers that serve by dropping them, since the table before and since earlier: a
     /// row of small steps counts together. Zone by zone, and only in zones that the table still goes to: that a
     /// spill ends is no cut. A zone given up altogether is judged over all tables.
-    pub fn cut(&self, parts: &Lines) -> Option<Finding> {
+    pub fn cut(&self, parts: &Weights) -> Option<Finding> {
         let left = self.by_zone(parts);
         let mut worst: Option<(f64, Vec<(f64, Address)>)> = None;
         for then in [self.before, self.earlier] {
             let whole = self.by_zone(then);
             let mut lost: BTreeMap<u16, Vec<(f64, Address)>> = BTreeMap::new();
             for (server, old) in then.iter().filter(|(server, _)| part(parts, server) <= 0.0) {
-                if let Some(s) = self.server(server).filter(|s| self.state.is_open(s, self.figures)) {
+                if let Some(s) = self.server(server).filter(|s| self.state.is_available(s, self.config)) {
                     lost.entry(s.zone).or_default().push((*old, *server));
                 }
             }
             let zones = lost.into_iter();
             for (zone, lost) in
-                zones.filter(|(z, _)| left.contains_key(z) && whole[z] > self.figures.zone_part)
+                zones.filter(|(z, _)| left.contains_key(z) && whole[z] > self.config.zone_part)
             {
                 let found = lost.iter().map(|(old, _)| old).sum::<f64>() / whole[&zone];
                 if worst.as_ref().is_none_or(|(most, _)| found > *most) {
@@ -280,12 +280,12 @@
             }
         }
         let (found, lost) = worst?;
-        self.taken(Check::Cut, lost, found, self.figures.cut_part)
+        self.taken(Check::Cut, lost, found, self.config.cut_part)
     }
 
     /// A zone that had a part of this table and has none, nor a line in any other: tables that leave it in one
     /// round are judged as if all of them were laid, or each would be let go for the sake of the next.
-    pub fn zone_cut(&self, parts: &Lines) -> Option<Finding> {
+    pub fn zone_cut(&self, parts: &Weights) -> Option<Finding> {
         // That no line is left at all is found by itself.
         if parts.is_empty() {
             return None;
@@ -295,7 +295,7 @@
             let most = had.entry(zone).or_default();
             *most = part.max(*most);
         }
-        had.retain(|zone, part| *part > self.figures.zone_part && !left.contains_key(zone));
+        had.retain(|zone, part| *part > self.config.zone_part && !left.contains_key(zone));
         had.into_keys().filter(|zone| !self.elsewhere.contains(zone)).find_map(|zone| {
             let open = self.open().filter(|(_, s)| s.zone == zone);
             let open: Vec<Address> = open.map(|(server, _)| *server).collect();
@@ -304,21 +304,21 @@
         })
     }
 
-    pub fn moved(&self, parts: &Lines) -> Option<Finding> {
-        let away = self.before.iter().filter(|(server, _)| self.is_open(server));
+    pub fn moved(&self, parts: &Weights) -> Option<Finding> {
+        let away = self.before.iter().filter(|(server, _)| self.is_available(server));
         let away = away.map(|(server, old)| ((old - part(parts, server)).max(0.0), *server));
         let away: Vec<(f64, Address)> = away.filter(|(moved, _)| *moved > 0.0).collect();
         let found = away.iter().map(|(moved, _)| moved).sum();
-        self.taken(Check::Moved, away, found, self.figures.moved_part)
+        self.taken(Check::Moved, away, found, self.config.moved_part)
     }
 
     /// Servers that this table would push past what they may have: those whose part it raises, as what it
     /// lowers or leaves is not its doing.
-    pub fn overloads(&self, parts: &Lines) -> Vec<Finding> {
+    pub fn overloads(&self, parts: &Weights) -> Vec<Finding> {
         let mut worst: BTreeMap<Check, (f64, Vec<Address>, f64, f64)> = BTreeMap::new();
         for (server, new) in parts.iter().filter(|(server, new)| **new > part(self.before, server) + SLACK) {
             let Some(s) = self.server(server) else { continue };
-            let Some(limit) = self.state.capacity(s, self.typical, self.figures) else { continue };
+            let Some(limit) = self.state.capacity(s, self.typical, self.config) else { continue };
             let load = self.load(server, *new);
             if load <= limit * (1.0 + SLACK) {
                 continue;
@@ -339,21 +339,21 @@
 
     /// Queries a second that may come to a server once the one of the greatest part beside it is lost: proxies
     /// stay away from it and its part goes to the others, as the table weighs them.
-    fn load_after_loss(&self, server: &Address, parts: &Lines, greatest: &Greatest) -> f64 {
+    fn load_after_loss(&self, server: &Address, parts: &Weights, greatest: &Greatest) -> f64 {
         let left = 1.0 - greatest.beside(server);
         self.load(server, if left > SLACK { (part(parts, server) / left).min(1.0) } else { 1.0 })
     }
 
     /// A cold server that would fall over if another server failed, where warm ones could be named beside it.
     /// Warm ones past what they may have for a moment are slow and not lost.
-    pub fn fragile(&self, parts: &Lines) -> Option<Finding> {
+    pub fn fragile(&self, parts: &Weights) -> Option<Finding> {
         let mut rest = self.open().filter(|(server, s)| self.state.is_warm(s) && !parts.contains_key(server));
         rest.next()?;
         let (greatest, former) = (Greatest::of(parts), Greatest::of(self.before));
         let mut worst: Option<(f64, Address, f64, f64)> = None;
         for server in parts.keys() {
             let Some(s) = self.server(server).filter(|s| !self.state.is_warm(s)) else { continue };
-            let Some(limit) = self.state.capacity(s, self.typical, self.figures) else { continue };
+            let Some(limit) = self.state.capacity(s, self.typical, self.config) else { continue };
             let load = self.load_after_loss(server, parts, &greatest);
             let before = self.load_after_loss(server, self.before, &former);
             let grows = !self.before.contains_key(server) || load > before * (1.0 + SLACK);
@@ -367,15 +367,15 @@
         worst.map(|(_, server, load, limit)| self.finding(Check::Fragile, vec![server], load, limit))
     }
 
-    pub fn pinned(&self, parts: &Lines) -> Option<Finding> {
+    pub fn pinned(&self, parts: &Weights) -> Option<Finding> {
         self.pins().find_map(|pin| {
             let named = parts.contains_key(&pin.server) || self.before.contains_key(&pin.server);
             // A pin holds nobody at a server that must be left.
-            let bound = self.server(&pin.server).is_none_or(|s| self.state.binds_away(s));
+            let bound = self.server(&pin.server).is_none_or(|s| self.state.must_drain(s));
             let found = part(parts, &pin.server);
-            let low = found < pin.least - SLACK && !bound;
-            let limit = if low { pin.least } else { pin.most };
-            let broken = named && (low || found > pin.most + SLACK);
+            let low = found < pin.min_share - SLACK && !bound;
+            let limit = if low { pin.min_share } else { pin.max_share };
+            let broken = named && (low || found > pin.max_share + SLACK);
             broken.then(|| self.finding(Check::Pinned, vec![pin.server], found, limit))
         })
     }
@@ -384,7 +384,7 @@
     /// it may have, and breaks no pin. A drain is never held back by a table that is kept.
     pub fn may_stay(&self) -> bool {
         let lines = self.before;
-        let bound = |server| self.server(server).is_none_or(|s| self.state.binds_away(s));
+        let bound = |server| self.server(server).is_none_or(|s| self.state.must_drain(s));
         if lines.is_empty() || lines.keys().any(bound) {
             return false;
         }
--- a/guard/src/evidence.rs
+++ b/guard/src/evidence.rs
@@ -1,6 +1,6 @@
 //! What was seen of servers and askers, gathered from reports and checks.
 
-use crate::state::{Listed, Server, State};
+use crate::state::{ListStatus, Server, State};
 use oatlever::round::{Address, HealthCheckResult, ProxyQueries, Tries};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
-    listed: Option<(Listed, f64)>,
+    listed: Option<(ListStatus, f64)>,
     answered_at: Option<f64>,
     failed_at: Option<f64>,
     checked: Option<(f64, bool)>,
@@ -29,9 +29,9 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListedServer {
     pub zone: u16,
-    pub listed: Listed,
+    pub list_status: ListStatus,
     pub weight: f64,
     pub started: f64,
 }
@@ -48,7 +48,7 @@
 
 impl Evidence {
     /// Takes in what a round brought.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         tries: &[Tries],
         queries: &[ProxyQueries],
@@ -94,17 +94,17 @@
     }
 
     /// Forgets servers that nobody lists or names any more.
-    pub fn keep_only(&mut self, known: &BTreeSet<Address>) {
+    pub fn retain(&mut self, known: &BTreeSet<Address>) {
         self.servers.retain(|server, _| known.contains(server));
     }
 
     /// Queries a second of an asker; what the settings say where none was heard.
-    pub fn rate(&self, asker: u16, usual: f64) -> f64 {
+    pub fn query_rate(&self, asker: u16, usual: f64) -> f64 {
         self.rates.get(&asker).map_or(usual, |classes| classes.values().sum())
     }
 
     /// Queries a second that came to askers, by class, for so many classes; none where none was heard.
-    pub fn by_class(&self, askers: impl Iterator<Item = u16>, classes: usize) -> Vec<f64> {
+    pub fn rates_by_class(&self, askers: impl Iterator<Item = u16>, classes: usize) -> Vec<f64> {
         let mut sums = vec![0.0; classes];
         for (class, rate) in askers.filter_map(|asker| self.rates.get(&asker)).flatten() {
             if let Some(sum) = sums.get_mut(usize::from(*class)) {
@@ -115,28 +115,28 @@
     }
 
     /// Writes servers and the age of the demand into a state.
-    pub fn tell(&mut self, listed: impl Iterator<Item = (Address, Entry)>, state: &mut State) {
+    pub fn update_state(&mut self, listed: impl Iterator<Item = (Address, ListedServer)>, state: &mut State) {
         let now = state.now;
         state.measured_at = self.heard_at.unwrap_or(now);
-        state.failing = self.failing;
+        state.failure_rate = self.failing;
         state.servers = listed
             .map(|(address, entry)| {
                 let seen = self.servers.entry(address).or_default();
-                let listed_at = match seen.listed {
-                    Some((word, at)) if word == entry.listed => at,
+                let status_changed_at = match seen.listed {
+                    Some((word, at)) if word == entry.list_status => at,
                     _ => now,
                 };
-                seen.listed = Some((entry.listed, listed_at));
+                seen.listed = Some((entry.list_status, status_changed_at));
                 let server = Server {
                     zone: entry.zone,
-                    listed: entry.listed,
+                    list_status: entry.list_status,
                     weight: entry.weight,
                     started: entry.started,
-                    listed_at,
+                    status_changed_at,
                     answered_at: seen.answered_at,
                     failed_at: seen.failed_at,
-                    checked: seen.checked,
-                    proven: seen.proven(now),
+                    last_check: seen.checked,
+                    proven_rate: seen.proven(now),
                 };
                 (address, server)
             })
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -1,10 +1,10 @@
 //! The guard itself: what is in place, what was said of whom, and what goes out instead.
 
-use crate::checks::{Check, Finding, Pin, Sight};
+use crate::admission::AdmissionLimit;
+use crate::checks::{Check, CheckContext, Finding, Pin};
 use crate::nearest::nearest;
-use crate::relief::Relief;
-use crate::state::{Figures, State};
-use crate::{parts, Lines, Loads};
+use crate::state::{GuardConfig, State};
+use crate::{normalize, Loads, Weights};
 use oatlever::round::{NO_RETRY, RETRY_UNPROCESSED};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -79,25 +79,25 @@
 pub struct Override {
     pub check: Check,
     /// Whose word it is.
-    pub by: String,
+    pub author: String,
     /// s, on the pilot's clock.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Held {
     /// As laid last, by parts, and the zones that it goes to.
-    lines: Lines,
+    lines: Weights,
     zones: BTreeSet<u16>,
     /// As it was `window` to twice that ago, and the one to follow it.
-    earlier: Lines,
-    next: Lines,
+    earlier: Weights,
+    next: Weights,
     turned_at: f64,
     /// Less than all is let in where not all fits.
-    relief: Option<Relief>,
+    relief: Option<AdmissionLimit>,
 }
 
-fn zones(state: &State, lines: &Lines) -> BTreeSet<u16> {
+fn zones(state: &State, lines: &Weights) -> BTreeSet<u16> {
     lines.keys().filter_map(|server| state.servers.get(server)).map(|s| s.zone).collect()
 }
 
@@ -106,10 +106,10 @@
 
 #[derive(Clone, Debug)]
 pub struct Guard {
-    pub figures: Figures,
+    pub config: GuardConfig,
     pub mode: Mode,
     /// s; the longest that an older table may be in use.
-    way: f64,
+    max_table_lifetime: f64,
     pub loads: Loads,
     tables: BTreeMap<u16, Held>,
     /// Zones of the tables that are to be judged in this round.
@@ -123,11 +123,11 @@
 }
 
 impl Guard {
-    pub fn new(figures: Figures, mode: Mode, way: f64) -> Self {
+    pub fn new(config: GuardConfig, mode: Mode, max_table_lifetime: f64) -> Self {
         Guard {
-            figures,
+            config,
             mode,
-            way,
+            max_table_lifetime,
             loads: Loads::default(),
             tables: BTreeMap::new(),
             coming: BTreeMap::new(),
@@ -140,32 +140,32 @@
     }
 
     /// Everything wrong with a table, by parts, if it were laid now in place of the last.
-    fn findings(&self, sight: &Sight, proposed: &Lines, parts: &Lines) -> Vec<Finding> {
+    fn findings(&self, context: &CheckContext, proposed: &Weights, parts: &Weights) -> Vec<Finding> {
         let mut found: Vec<Finding> = [
-            sight.not_finite(proposed),
-            sight.emptied(parts),
-            sight.cold_only(parts),
-            sight.cut(parts),
-            sight.zone_cut(parts),
-            sight.moved(parts),
-            sight.pinned(parts),
-            sight.fragile(parts),
+            context.not_finite(proposed),
+            context.emptied(parts),
+            context.cold_only(parts),
+            context.cut(parts),
+            context.zone_cut(parts),
+            context.moved(parts),
+            context.pinned(parts),
+            context.fragile(parts),
         ]
         .into_iter()
         .flatten()
         .collect();
-        found.extend(sight.overloads(parts));
-        found.retain(|finding| !self.is_lifted(finding.check, sight.state.now));
+        found.extend(context.overloads(parts));
+        found.retain(|finding| !self.is_lifted(finding.check, context.state.now));
         found
     }
 
     fn is_lifted(&self, check: Check, now: f64) -> bool {
-        self.overrides.iter().any(|o| o.check == check && o.until > now)
+        self.overrides.iter().any(|o| o.check == check && o.expires_at > now)
     }
 
     /// The tables that are to be judged next, all of one round: each is judged as if the others were laid.
-    pub fn expect(&mut self, state: &State, proposals: &BTreeMap<u16, Lines>) {
-        let zones = |(table, lines): (&u16, &Lines)| (*table, zones(state, &parts(lines)));
+    pub fn begin_round(&mut self, state: &State, proposals: &BTreeMap<u16, Weights>) {
+        let zones = |(table, lines): (&u16, &Weights)| (*table, zones(state, &normalize(lines)));
         self.coming = proposals.iter().map(zones).collect();
     }
 
@@ -178,43 +178,48 @@
     }
 
     /// Judges a table and says what is to be laid: the proposal itself (its weights untouched), or another.
-    pub fn judge(&mut self, state: &State, table: u16, proposed: &Lines) -> (Verdict, Option<Lines>) {
-        let wanted = parts(proposed);
+    pub fn evaluate(&mut self, state: &State, table: u16, proposed: &Weights) -> (Verdict, Option<Weights>) {
+        let wanted = normalize(proposed);
         self.loads.expire(state.now);
         for (table, demand) in &state.demand {
-            self.loads.demand(*table, *demand);
+            self.loads.set_demand(*table, *demand);
         }
         let (none, elsewhere) = (Held::default(), self.elsewhere(table));
         let held = self.tables.get(&table).unwrap_or(&none);
-        let sight = Sight {
+        let context = CheckContext {
             state,
-            figures: &self.figures,
+            config: &self.config,
             loads: &self.loads,
             pins: &self.pins,
             table,
             before: &held.lines,
             earlier: &held.earlier,
-            typical: state.typical(),
+            typical: state.typical_rate(),
             elsewhere: &elsewhere,
         };
-        let findings = self.findings(&sight, proposed, &wanted);
-        let (outcome, instead) = self.decide(&sight, &wanted, &findings);
+        let findings = self.findings(&context, proposed, &wanted);
+        let (outcome, instead) = self.decide(&context, &wanted, &findings);
         self.lay(state, table, instead.as_ref().unwrap_or(&wanted));
         let fits = if let Outcome::Nearest { fits, .. } = outcome { fits } else { 1.0 };
         let relief = &mut self.tables.entry(table).or_default().relief;
-        let mut follows = relief.unwrap_or(Relief::none(state.now));
+        let mut follows = relief.unwrap_or(AdmissionLimit::unlimited(state.now));
         // What failed long ago refuses nobody now: reports may have stopped under way.
-        let fresh = state.now - state.measured_at <= self.figures.answers_within;
-        follows.follow(fits, if fresh { state.failing } else { 0.0 }, state.now);
-        *relief = Some(follows).filter(|relief| relief.part < 1.0);
+        let fresh = state.now - state.measured_at <= self.config.answers_within;
+        follows.update(fits, if fresh { state.failure_rate } else { 0.0 }, state.now);
+        *relief = Some(follows).filter(|relief| relief.share < 1.0);
         let verdict = Verdict { table, at: state.now, findings, outcome };
         self.note(&verdict);
         (verdict, instead)
     }
 
-    fn decide(&self, sight: &Sight, wanted: &Lines, findings: &[Finding]) -> (Outcome, Option<Lines>) {
+    fn decide(
+        &self,
+        context: &CheckContext,
+        wanted: &Weights,
+        findings: &[Finding],
+    ) -> (Outcome, Option<Weights>) {
         if findings.is_empty() {
-            let empty = wanted.is_empty() && !sight.before.is_empty();
+            let empty = wanted.is_empty() && !context.before.is_empty();
             return (if empty { Outcome::Empty } else { Outcome::Fine }, None);
         }
         if self.mode == Mode::Report {
@@ -224,28 +229,28 @@
         if findings.iter().all(|finding| finding.check == Check::NotFinite) {
             return (Outcome::Nearest { moved: 0.0, fits: 1.0 }, Some(wanted.clone()));
         }
-        if sight.may_stay() {
-            return (Outcome::Kept, Some(sight.before.clone()));
+        if context.may_stay() {
+            return (Outcome::Kept, Some(context.before.clone()));
         }
-        let found = nearest(sight, wanted);
+        let found = nearest(context, wanted);
         // What was refused for its fragility alone goes out where the nearest is no better.
         let fragile = findings.iter().all(|finding| finding.check == Check::Fragile);
-        if found.lines.is_empty() || fragile && sight.fragile(&found.lines).is_some() {
+        if found.lines.is_empty() || fragile && context.fragile(&found.lines).is_some() {
             return (Outcome::NothingBetter, None);
         }
         (Outcome::Nearest { moved: found.moved, fits: found.fits }, Some(found.lines))
     }
 
     /// What is in place before the guard was asked anything.
-    pub fn take_up(&mut self, state: &State, table: u16, lines: &Lines) {
-        self.lay(state, table, &parts(lines));
+    pub fn set_current(&mut self, state: &State, table: u16, lines: &Weights) {
+        self.lay(state, table, &normalize(lines));
     }
 
     /// A table is laid by parts, judged or not.
-    fn lay(&mut self, state: &State, table: u16, lines: &Lines) {
-        self.loads.lay(table, lines, state.now, self.way);
+    fn lay(&mut self, state: &State, table: u16, lines: &Weights) {
+        self.loads.publish(table, lines, state.now, self.max_table_lifetime);
         let held = self.tables.entry(table).or_default();
-        if state.now - held.turned_at >= self.figures.window {
+        if state.now - held.turned_at >= self.config.window {
             held.earlier = std::mem::replace(&mut held.next, held.lines.clone());
             held.turned_at = state.now;
         }
@@ -257,7 +262,7 @@
     }
 
     /// The part of a table's queries that is let in, where it is less than all.
-    pub fn relief(&self, table: u16) -> Option<&Relief> {
+    pub fn admission_limit(&self, table: u16) -> Option<&AdmissionLimit> {
         self.tables.get(&table)?.relief.as_ref().filter(|_| self.mode == Mode::Enforce)
     }
 
@@ -275,22 +280,22 @@
     }
 
     /// The last verdicts that were not fine, newest first.
-    pub fn told(&self) -> impl Iterator<Item = &Verdict> {
+    pub fn recent_verdicts(&self) -> impl Iterator<Item = &Verdict> {
         self.told.iter().rev()
     }
 
     /// The mode of further tries that may go out for a class: one that must not run twice has none but where
     /// it is proven not to have run.
-    pub fn tries(&mut self, table: u16, class: u16, once: bool, tries: u8, now: f64) -> u8 {
+    pub fn retry_mode(&mut self, table: u16, class: u16, once: bool, tries: u8, now: f64) -> u8 {
         if !once || tries <= RETRY_UNPROCESSED || self.is_lifted(Check::Twice, now) {
             return tries;
         }
         let finding = Finding {
             check: Check::Twice,
             servers: Vec::new(),
-            found: f64::from(class),
+            value: f64::from(class),
             limit: 0.0,
-            age: 0.0,
+            data_age: 0.0,
         };
         let enforced = self.mode == Mode::Enforce;
         let outcome = if enforced { Outcome::Nearest { moved: 0.0, fits: 1.0 } } else { Outcome::Reported };
@@ -304,8 +309,8 @@
 
     /// Words that have run out are forgotten.
     pub fn expire(&mut self, now: f64) {
-        self.overrides.retain(|o| o.until > now);
-        self.pins.retain(|pin| pin.until > now);
+        self.overrides.retain(|o| o.expires_at > now);
+        self.pins.retain(|pin| pin.expires_at > now);
         self.loads.expire(now);
     }
 }
--- a/guard/src/holders.rs
+++ b/guard/src/holders.rs
@@ -16,15 +16,15 @@
 #[derive(Clone, Debug)]
 pub struct Holders {
     /// s; the longest that an older table may be in use.
-    way: f64,
+    max_table_lifetime: f64,
     askers: BTreeMap<u16, Held>,
     /// By table: those who may hold it.
     tables: BTreeMap<u16, BTreeSet<u16>>,
 }
 
 impl Holders {
-    pub fn new(way: f64) -> Self {
-        Holders { way, askers: BTreeMap::new(), tables: BTreeMap::new() }
+    pub fn new(max_table_lifetime: f64) -> Self {
+        Holders { max_table_lifetime, askers: BTreeMap::new(), tables: BTreeMap::new() }
     }
 
     /// An asker is bound to a table from now on, or to none.
@@ -35,7 +35,7 @@
         }
         if let Some(old) = std::mem::replace(&mut held.bound, table) {
             held.past.retain(|(past, _)| *past != old);
-            held.past.push((old, now + self.way));
+            held.past.push((old, now + self.max_table_lifetime));
         }
         if let Some(table) = table {
             self.tables.entry(table).or_default().insert(asker);
@@ -59,7 +59,7 @@
     }
 
     /// Those who may hold a table.
-    pub fn of(&self, table: u16) -> impl Iterator<Item = u16> + '_ {
+    pub fn askers_of(&self, table: u16) -> impl Iterator<Item = u16> + '_ {
         self.tables.get(&table).into_iter().flatten().copied()
     }
 
--- a/guard/src/loads.rs
+++ b/guard/src/loads.rs
@@ -6,7 +6,7 @@
 //! kept as sums that follow each change, so that a change costs in proportion to the lines of its table and a
 //! question nothing that grows with the number of tables.
 
-use crate::Lines;
+use crate::Weights;
 use oatlever::round::Address;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -80,7 +80,7 @@
 
 impl Loads {
     /// A table is laid, by parts; what was before may be in use for `way` s more.
-    pub fn lay(&mut self, table: u16, parts: &Lines, now: f64, way: f64) {
+    pub fn publish(&mut self, table: u16, parts: &Weights, now: f64, way: f64) {
         self.expire(now);
         let Loads { tables, sums, ends } = self;
         let held = tables.entry(table).or_default();
@@ -105,7 +105,7 @@
     }
 
     /// The users of a table bring so many queries a second from now on.
-    pub fn demand(&mut self, table: u16, demand: f64) {
+    pub fn set_demand(&mut self, table: u16, demand: f64) {
         let held = self.tables.entry(table).or_default();
         let more = demand - std::mem::replace(&mut held.demand, demand);
         if more != 0.0 {
@@ -138,18 +138,18 @@
     }
 
     /// Servers that are remembered: those with a line in any version in use.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.sums.len()
     }
 
     /// The greatest part that a server has in any version of a table in use.
-    pub fn most(&self, table: u16, server: &Address) -> f64 {
+    pub fn max_share(&self, table: u16, server: &Address) -> f64 {
         self.tables.get(&table).and_then(|held| held.lines.get(server)).map_or(0.0, Line::most)
     }
 
     /// Queries a second that all tables but one ask of a server at most.
-    pub fn others(&self, but: u16, server: &Address) -> f64 {
-        let own = self.tables.get(&but).map_or(0.0, |held| held.demand) * self.most(but, server);
+    pub fn load_from_others(&self, but: u16, server: &Address) -> f64 {
+        let own = self.tables.get(&but).map_or(0.0, |held| held.demand) * self.max_share(but, server);
         self.sums.get(server).map_or(0.0, |sum| (sum.queries - own).max(0.0))
     }
 }
--- a/guard/tests/exhaustive.rs
+++ b/guard/tests/exhaustive.rs
@@ -1,7 +1,7 @@
 //! Every pair of tables of small pools, three weights a line, against a plain reading of the checks.
 
 use oatlever::round::Address;
-use oatlever_guard::{Check, Figures, Guard, Lines, Listed, Mode, Outcome, Server, State};
+use oatlever_guard::{Check, Guard, GuardConfig, ListStatus, Mode, Outcome, Server, State, Weights};
 use std::collections::BTreeSet;
 
 const WEIGHTS: [f64; 3] = [0.0, 1.0, 3.0];
@@ -30,14 +30,14 @@
     fn state(&self, servers: usize) -> State {
         let one = |n: usize| Server {
             zone: (n % 2) as u16,
-            listed: if self.drains.contains(&n) { Listed::Draining } else { Listed::Ready },
-            listed_at: 0.0,
+            list_status: if self.drains.contains(&n) { ListStatus::Draining } else { ListStatus::Ready },
+            status_changed_at: 0.0,
             weight: 1.0,
             started: if self.cold.contains(&n) { 950.0 } else { 0.0 },
             answered_at: Some(1000.0),
             failed_at: None,
-            checked: None,
-            proven: 10.0,
+            last_check: None,
+            proven_rate: 10.0,
         };
         State {
             now: 1000.0,
@@ -115,7 +115,7 @@
 }
 
 /// The table of a number: its digits to the base of three choose the weights.
-fn table(mut number: usize, servers: usize) -> (Lines, Vec<f64>) {
+fn table(mut number: usize, servers: usize) -> (Weights, Vec<f64>) {
     let mut weights = Vec::new();
     for _ in 0..servers {
         weights.push(WEIGHTS[number % 3]);
@@ -137,13 +137,13 @@
         for pool in &POOLS {
             let state = pool.state(servers as usize);
             for other in (0..tables.len()).step_by(step) {
-                let mut guard = Guard::new(Figures::default(), Mode::Enforce, 5.0);
+                let mut guard = Guard::new(GuardConfig::default(), Mode::Enforce, 5.0);
                 let earlier = State { now: 950.0, demand: [].into(), ..state.clone() };
-                guard.take_up(&earlier, 0, &tables[even].0);
-                guard.take_up(&earlier, 1, &tables[other].0);
+                guard.set_current(&earlier, 0, &tables[even].0);
+                guard.set_current(&earlier, 1, &tables[other].0);
                 let (old, q) = (&tables[even].1, &tables[other].1);
                 for (proposed, new) in &tables {
-                    let (verdict, laid) = guard.clone().judge(&state, 0, proposed);
+                    let (verdict, laid) = guard.clone().evaluate(&state, 0, proposed);
                     let told: BTreeSet<Check> = verdict.findings.iter().map(|f| f.check).collect();
                     let plain = pool.wrong(old, new, q);
                     assert_eq!(told, plain, "{old:?} to {new:?} beside {q:?}: {verdict}");
--- a/guard/tests/guard.rs
+++ b/guard/tests/guard.rs
@@ -2,7 +2,8 @@
 
 use oatlever::round::Address;
 use oatlever_guard::{
-    parts, Check, Figures, Guard, Holders, Lines, Listed, Loads, Mode, Outcome, Override, Pin, Server, State,
+    normalize, Check, Guard, GuardConfig, Holders, ListStatus, Loads, Mode, Outcome, Override, Pin, Server,
+    State, Weights,
 };
 use std::collections::BTreeSet;
 
@@ -11,10 +12,20 @@
 }
 
 fn ready(zone: u16) -> Server {
-    let (answered_at, checked) = (Some(1000.0), None);
-    let (listed, listed_at, failed_at) = (Listed::Ready, 0.0, None);
-    let (weight, started, proven) = (1.0, 0.0, 10.0);
-    Server { zone, listed, listed_at, weight, started, answered_at, failed_at, checked, proven }
+    let (answered_at, last_check) = (Some(1000.0), None);
+    let (list_status, status_changed_at, failed_at) = (ListStatus::Ready, 0.0, None);
+    let (weight, started, proven_rate) = (1.0, 0.0, 10.0);
+    Server {
+        zone,
+        list_status,
+        status_changed_at,
+        weight,
+        started,
+        answered_at,
+        failed_at,
+        last_check,
+        proven_rate,
+    }
 }
 
 /// So many warm servers in two zones by turns; each may have 20 queries a second.
@@ -24,37 +35,37 @@
         servers: (0..servers).map(|n| (server(n), ready(u16::from(n % 2)))).collect(),
         demand: [(0, demand), (1, demand)].into(),
         measured_at: 1000.0,
-        failing: 0.0,
+        failure_rate: 0.0,
         cold_share: 0.2,
         warm_within: 100.0,
         fall_multiple: 2.5,
-        gone_binds: false,
+        drain_gone: false,
     }
 }
 
-fn lines(of: &[(u8, f64)]) -> Lines {
+fn lines(of: &[(u8, f64)]) -> Weights {
     of.iter().map(|(n, weight)| (server(*n), *weight)).collect()
 }
 
-fn even(servers: std::ops::Range<u8>) -> Lines {
+fn even(servers: std::ops::Range<u8>) -> Weights {
     servers.map(|n| (server(n), 1.0)).collect()
 }
 
 const WAY: f64 = 5.0;
 
 /// A guard with a table in place for long.
-fn guard(state: &State, table: &Lines) -> Guard {
-    let mut guard = Guard::new(Figures::default(), Mode::Enforce, WAY);
+fn guard(state: &State, table: &Weights) -> Guard {
+    let mut guard = Guard::new(GuardConfig::default(), Mode::Enforce, WAY);
     let earlier = State { now: state.now - 50.0, measured_at: state.now - 50.0, ..state.clone() };
     let mut fine = earlier.clone();
-    fine.servers.values_mut().for_each(|s| s.listed = Listed::Ready);
+    fine.servers.values_mut().for_each(|s| s.list_status = ListStatus::Ready);
     fine.demand.clear();
-    guard.judge(&fine, 0, table);
+    guard.evaluate(&fine, 0, table);
     guard
 }
 
-fn checks(guard: &mut Guard, state: &State, table: u16, proposed: &Lines) -> (Vec<Check>, Outcome) {
-    let (verdict, _) = guard.judge(state, table, proposed);
+fn checks(guard: &mut Guard, state: &State, table: u16, proposed: &Weights) -> (Vec<Check>, Outcome) {
+    let (verdict, _) = guard.evaluate(state, table, proposed);
     (verdict.findings.iter().map(|finding| finding.check).collect(), verdict.outcome)
 }
 
@@ -77,9 +88,9 @@
     // A zone of one server that serves.
     cut_off.servers.get_mut(&server(5)).unwrap().zone = 7;
     let all = even(0..6);
-    let cases: [(Check, &State, Lines); 9] = [
+    let cases: [(Check, &State, Weights); 9] = [
         (Check::NotFinite, &calm, [(server(0), f64::NAN)].into_iter().chain(even(1..6)).collect()),
-        (Check::Emptied, &one_open, Lines::new()),
+        (Check::Emptied, &one_open, Weights::new()),
         (Check::ColdOnly, &only_cold, lines(&[(5, 1.0)])),
         (Check::Cut, &calm, even(0..2)),
         (Check::ZoneCut, &cut_off, even(0..5)),
@@ -94,31 +105,31 @@
     ];
     for (check, state, proposed) in cases {
         let mut guard = guard(state, &all);
-        guard.figures.moved_part = 0.8;
+        guard.config.moved_part = 0.8;
         guard.pins.push(Pin {
             server: server(5),
-            least: 0.0,
-            most: 0.2,
-            until: if check == Check::Pinned { 2000.0 } else { 0.0 },
+            min_share: 0.0,
+            max_share: 0.2,
+            expires_at: if check == Check::Pinned { 2000.0 } else { 0.0 },
         });
         let mut lifted = guard.clone();
         let (found, outcome) = checks(&mut guard, state, 0, &proposed);
         assert_eq!(found, [check], "{outcome:?}");
         assert!(matches!(outcome, Outcome::Kept | Outcome::Nearest { .. }), "{check:?}: {outcome:?}");
-        lifted.overrides.push(Override { check, by: "a test".into(), until: 1001.0 });
+        lifted.overrides.push(Override { check, author: "a test".into(), expires_at: 1001.0 });
         let (found, outcome) = checks(&mut lifted, state, 0, &proposed);
         assert!(found.is_empty() && matches!(outcome, Outcome::Fine | Outcome::Empty), "{check:?} {found:?}");
         // An override runs out by itself.
         let mut late = guard.clone();
-        late.overrides.push(Override { check, by: "a test".into(), until: 999.0 });
+        late.overrides.push(Override { check, author: "a test".into(), expires_at: 999.0 });
         late.expire(state.now);
         assert!(late.overrides.is_empty());
     }
     let mut guard = guard(&calm, &all);
-    let mut tries = |once, mode| guard.tries(0, 1, once, mode, 1000.0);
+    let mut tries = |once, mode| guard.retry_mode(0, 1, once, mode, 1000.0);
     assert_eq!((tries(true, 1), tries(true, 2), tries(false, 2)), (1, 0, 2));
-    guard.overrides.push(Override { check: Check::Twice, by: "a test".into(), until: 1001.0 });
-    assert_eq!(guard.tries(0, 1, true, 2, 1000.0), 2);
+    guard.overrides.push(Override { check: Check::Twice, author: "a test".into(), expires_at: 1001.0 });
+    assert_eq!(guard.retry_mode(0, 1, true, 2, 1000.0), 2);
 }
 
 /// The list calls nine of ten gone while answers say that they serve: they stay. Where they must be left by
@@ -126,7 +137,7 @@
 #[test]
 fn a_lying_list_is_told_from_a_true_one() {
     let mut lying = state(10, 20.0);
-    (1..10).for_each(|n| lying.servers.get_mut(&server(n)).unwrap().listed = Listed::Gone);
+    (1..10).for_each(|n| lying.servers.get_mut(&server(n)).unwrap().list_status = ListStatus::Gone);
     let few = lines(&[(0, 1.0)]);
     let (found, outcome) = checks(&mut guard(&lying, &even(0..10)), &lying, 0, &few);
     assert!(found.contains(&Check::Cut) && outcome == Outcome::Kept, "{found:?} {outcome:?}");
@@ -138,22 +149,22 @@
     let mut checked = lying.clone();
     for n in 1..10 {
         let s = checked.servers.get_mut(&server(n)).unwrap();
-        (s.answered_at, s.checked) = (Some(995.0), Some((994.0, false)));
+        (s.answered_at, s.last_check) = (Some(995.0), Some((994.0, false)));
     }
     assert_eq!(checks(&mut guard(&checked, &even(0..10)), &checked, 0, &few).1, Outcome::Kept);
-    checked.servers.values_mut().for_each(|s| s.checked = Some((996.0, false)));
+    checked.servers.values_mut().for_each(|s| s.last_check = Some((996.0, false)));
     checked.demand.clear();
     assert_eq!(checks(&mut guard(&checked, &even(0..10)), &checked, 0, &few).1, Outcome::Fine);
     // Answers from before the list's word say nothing of after it: a server that died is let go. So are those
     // at which all tries fail.
     let mut died = lying.clone();
     died.demand.clear();
-    died.servers.values_mut().for_each(|s| (s.listed_at, s.answered_at) = (997.0, Some(996.0)));
+    died.servers.values_mut().for_each(|s| (s.status_changed_at, s.answered_at) = (997.0, Some(996.0)));
     assert_eq!(checks(&mut guard(&died, &even(0..10)), &died, 0, &few).1, Outcome::Fine);
     died.servers.values_mut().for_each(|s| (s.answered_at, s.failed_at) = (Some(998.0), Some(999.0)));
     assert_eq!(checks(&mut guard(&died, &even(0..10)), &died, 0, &few).1, Outcome::Fine);
     // Gone binds: the drain is kept, whoever answers.
-    lying.gone_binds = true;
+    lying.drain_gone = true;
     lying.demand.clear();
     assert_eq!(checks(&mut guard(&lying, &even(0..10)), &lying, 0, &few).1, Outcome::Fine);
 }
@@ -162,14 +173,14 @@
 fn a_truly_empty_pool_is_told_and_an_unknown_one_is_left_alone() {
     let mut gone = state(4, 20.0);
     for s in gone.servers.values_mut() {
-        (s.listed, s.answered_at) = (Listed::Gone, Some(980.0));
+        (s.list_status, s.answered_at) = (ListStatus::Gone, Some(980.0));
     }
-    assert_eq!(checks(&mut guard(&gone, &even(0..4)), &gone, 0, &Lines::new()).1, Outcome::Empty);
+    assert_eq!(checks(&mut guard(&gone, &even(0..4)), &gone, 0, &Weights::new()).1, Outcome::Empty);
     // Just after a restart nothing is known of anybody: what the decisions say goes out.
     let mut unknown = state(4, 20.0);
-    unknown.servers.values_mut().for_each(|s| (s.answered_at, s.proven) = (None, 0.0));
-    let mut fresh = Guard::new(Figures::default(), Mode::Enforce, WAY);
-    assert_eq!(checks(&mut fresh, &unknown, 0, &Lines::new()).1, Outcome::Fine);
+    unknown.servers.values_mut().for_each(|s| (s.answered_at, s.proven_rate) = (None, 0.0));
+    let mut fresh = Guard::new(GuardConfig::default(), Mode::Enforce, WAY);
+    assert_eq!(checks(&mut fresh, &unknown, 0, &Weights::new()).1, Outcome::Fine);
     assert_eq!(checks(&mut fresh, &unknown, 0, &even(0..4)).1, Outcome::Fine);
     assert_eq!(checks(&mut fresh, &unknown, 0, &even(2..3)).1, Outcome::Fine);
 }
@@ -180,9 +191,9 @@
     let mut state = state(8, 20.0);
     state.demand.remove(&1);
     let (home, away) = (lines(&[(0, 1.0), (2, 1.0), (4, 1.0), (6, 1.0)]), lines(&[(1, 1.0), (3, 1.0)]));
-    let spilled: Lines = home.keys().take(1).chain(away.keys()).map(|server| (*server, 1.0)).collect();
+    let spilled: Weights = home.keys().take(1).chain(away.keys()).map(|server| (*server, 1.0)).collect();
     let mut guard = guard(&state, &spilled);
-    guard.judge(&state, 1, &away);
+    guard.evaluate(&state, 1, &away);
     assert_eq!(checks(&mut guard, &state, 0, &home), (vec![], Outcome::Fine));
 }
 
@@ -190,9 +201,9 @@
 #[test]
 fn a_refusal_never_holds_a_drain_back() {
     let mut draining = state(6, 20.0);
-    draining.servers.get_mut(&server(0)).unwrap().listed = Listed::Draining;
+    draining.servers.get_mut(&server(0)).unwrap().list_status = ListStatus::Draining;
     let mut guard = guard(&draining, &even(0..6));
-    let (verdict, laid) = guard.judge(&draining, 0, &lines(&[(1, 1.0)]));
+    let (verdict, laid) = guard.evaluate(&draining, 0, &lines(&[(1, 1.0)]));
     assert!(matches!(verdict.outcome, Outcome::Nearest { .. }), "{verdict}");
     let laid = laid.unwrap();
     assert_eq!(laid.keys().copied().collect::<Vec<_>>(), (1..6).map(server).collect::<Vec<_>>());
@@ -209,7 +220,7 @@
         state.now += 2.0;
         (state.measured_at, refused) = (state.now, Some(left));
         state.servers.values_mut().for_each(|s| s.answered_at = Some(state.now));
-        if guard.judge(&state, 0, &even(0..left)).0.outcome != Outcome::Fine {
+        if guard.evaluate(&state, 0, &even(0..left)).0.outcome != Outcome::Fine {
             break;
         }
     }
@@ -224,7 +235,7 @@
     state.servers.get_mut(&server(5)).unwrap().started = 970.0;
     // 0.44 warm: it may have 11 queries a second.
     let some = lines(&[(0, 1.0), (1, 1.0), (2, 1.0), (5, 1.5)]);
-    let mut guard = Guard::new(Figures { cut_part: 0.9, ..Figures::default() }, Mode::Enforce, WAY);
+    let mut guard = Guard::new(GuardConfig { cut_part: 0.9, ..GuardConfig::default() }, Mode::Enforce, WAY);
     assert_eq!(checks(&mut guard, &state, 0, &some), (vec![], Outcome::Fine));
     let (found, outcome) = checks(&mut guard.clone(), &state, 1, &some);
     assert_eq!(found, [Check::ColdOverload], "{outcome:?}");
@@ -245,12 +256,12 @@
     let mut over = state(4, 70.0);
     over.demand.remove(&1);
     let mut guard = guard(&over, &even(0..4));
-    let (verdict, laid) = guard.judge(&over, 0, &lines(&[(0, 9.0), (1, 1.0), (2, 1.0), (3, 1.0)]));
-    assert_eq!((verdict.outcome, laid), (Outcome::Kept, Some(parts(&even(0..4)))));
+    let (verdict, laid) = guard.evaluate(&over, 0, &lines(&[(0, 9.0), (1, 1.0), (2, 1.0), (3, 1.0)]));
+    assert_eq!((verdict.outcome, laid), (Outcome::Kept, Some(normalize(&even(0..4)))));
     // Reports 10 s old: half as much again may come, 105 for servers that may have 80.
     over.measured_at = 990.0;
     let mut old = self::guard(&over, &even(0..4));
-    let (verdict, laid) = old.judge(&over, 0, &lines(&[(0, 9.0), (1, 1.0), (2, 1.0), (3, 1.0)]));
+    let (verdict, laid) = old.evaluate(&over, 0, &lines(&[(0, 9.0), (1, 1.0), (2, 1.0), (3, 1.0)]));
     let Outcome::Nearest { fits, .. } = verdict.outcome else { panic!("{verdict}") };
     assert!((fits - 80.0 / 105.0).abs() < 1e-9, "{fits}");
     assert!(laid.unwrap().values().all(|part| (part - 0.25).abs() < 1e-9));
@@ -259,12 +270,12 @@
     last.demand.remove(&1);
     (1..4).for_each(|n| last.servers.get_mut(&server(n)).unwrap().started = 999.9);
     let mut guard = self::guard(&last, &even(0..4));
-    let (verdict, laid) = guard.judge(&last, 0, &lines(&[(1, 1.0)]));
+    let (verdict, laid) = guard.evaluate(&last, 0, &lines(&[(1, 1.0)]));
     let laid = laid.unwrap();
     assert!(matches!(verdict.outcome, Outcome::Nearest { fits: 1.0, .. }), "{verdict}");
     assert!(laid[&server(0)] < 0.5 && laid.values().all(|part| *part > 0.16), "{laid:?}");
     last.demand.insert(0, 60.0);
-    let (verdict, laid) = self::guard(&last, &even(0..4)).judge(&last, 0, &lines(&[(1, 1.0)]));
+    let (verdict, laid) = self::guard(&last, &even(0..4)).evaluate(&last, 0, &lines(&[(1, 1.0)]));
     // All are past what they may have by the same part: 20 of 35 queries for the warm one.
     assert!((laid.unwrap()[&server(0)] - 20.0 / 35.0).abs() < 0.01, "{verdict}");
 }
@@ -274,15 +285,18 @@
     let state = state(6, 20.0);
     let mut guard = guard(&state, &even(0..6));
     guard.mode = Mode::Report;
-    let (verdict, laid) = guard.judge(&state, 0, &Lines::new());
+    let (verdict, laid) = guard.evaluate(&state, 0, &Weights::new());
     assert_eq!((verdict.outcome.clone(), laid), (Outcome::Reported, None));
     assert!(verdict.to_string().contains("emptied: no line is left while 6 servers serve"), "{verdict}");
-    assert_eq!((guard.findings["emptied"], guard.outcomes["reported"], guard.told().count()), (1, 1, 1));
+    assert_eq!(
+        (guard.findings["emptied"], guard.outcomes["reported"], guard.recent_verdicts().count()),
+        (1, 1, 1)
+    );
 }
 
 /// All that was laid, remembered plainly.
 #[derive(Default)]
-struct Recount(Vec<(f64, u16, Lines)>);
+struct Recount(Vec<(f64, u16, Weights)>);
 
 impl Recount {
     /// The greatest part in any version in use: the last, and those replaced within the way.
@@ -304,20 +318,20 @@
         for _ in 0..60 {
             now += chance.f64() * 2.0;
             let table = chance.u16(..4);
-            let proposed: Lines = (0..8).map(|n| (server(n), f64::from(chance.u8(..4)))).collect();
-            let laid = parts(&proposed);
-            loads.lay(table, &laid, now, WAY);
+            let proposed: Weights = (0..8).map(|n| (server(n), f64::from(chance.u8(..4)))).collect();
+            let laid = normalize(&proposed);
+            loads.publish(table, &laid, now, WAY);
             recount.0.push((now, table, laid));
-            (0..4).for_each(|table| loads.demand(table, f64::from(table) + chance.f64()));
-            (0..4).for_each(|table| loads.demand(table, f64::from(table) + 1.0));
+            (0..4).for_each(|table| loads.set_demand(table, f64::from(table) + chance.f64()));
+            (0..4).for_each(|table| loads.set_demand(table, f64::from(table) + 1.0));
             let then = now + chance.f64() * 4.0;
             let mut later = loads.clone();
             later.expire(then);
             for n in 0..8 {
                 for table in 0..4 {
-                    assert_eq!(later.most(table, &server(n)), recount.most(table, &server(n), then));
+                    assert_eq!(later.max_share(table, &server(n)), recount.most(table, &server(n), then));
                 }
-                let others = later.others(1, &server(n));
+                let others = later.load_from_others(1, &server(n));
                 let plain =
                     [0, 2, 3].iter().map(|t| recount.most(*t, &server(n), then) * (f64::from(*t) + 1.0));
                 assert!((others - plain.sum::<f64>()).abs() < 1e-9);
@@ -330,12 +344,12 @@
 #[test]
 fn servers_that_left_are_forgotten() {
     let mut loads = Loads::default();
-    loads.demand(0, 30.0);
+    loads.set_demand(0, 30.0);
     for n in 0..20_000u16 {
         let address = |k: u16| Address { host: [10, 0, (k >> 8) as u8, k as u8], port: 7000 };
-        let lines: Lines = (n..n + 3).map(|k| (address(k), 1.0 + f64::from(k % 7))).collect();
-        loads.lay(0, &parts(&lines), f64::from(n), WAY);
-        assert!(loads.servers() <= 3 + WAY as usize + 1, "{}", loads.servers());
+        let lines: Weights = (n..n + 3).map(|k| (address(k), 1.0 + f64::from(k % 7))).collect();
+        loads.publish(0, &normalize(&lines), f64::from(n), WAY);
+        assert!(loads.server_count() <= 3 + WAY as usize + 1, "{}", loads.server_count());
     }
 }
 
@@ -350,28 +364,28 @@
         let count = chance.u8(2..8);
         let mut state = state(count, 0.0);
         state.demand = [(0, chance.f64() * 60.0), (1, chance.f64() * 30.0)].into();
-        state.gone_binds = chance.bool();
-        let mut guard = Guard::new(Figures::default(), Mode::Enforce, WAY);
+        state.drain_gone = chance.bool();
+        let mut guard = Guard::new(GuardConfig::default(), Mode::Enforce, WAY);
         let mut recount = Recount::default();
         for _ in 0..8 {
             state.now += chance.f64() * 3.0;
             state.measured_at = state.now - chance.f64() * 4.0;
             for s in state.servers.values_mut() {
                 match chance.u8(..12) {
-                    0 => s.listed = Listed::Draining,
-                    1 => s.listed = Listed::Gone,
+                    0 => s.list_status = ListStatus::Draining,
+                    1 => s.list_status = ListStatus::Gone,
                     2 => s.started = state.now - chance.f64() * 50.0,
                     3 => s.answered_at = None,
-                    4 | 5 => (s.listed, s.answered_at) = (Listed::Ready, Some(state.now)),
+                    4 | 5 => (s.list_status, s.answered_at) = (ListStatus::Ready, Some(state.now)),
                     _ => {}
                 }
             }
             let table = chance.u16(..2);
-            let proposed: Lines =
+            let proposed: Weights =
                 (0..count).map(|n| (server(n), f64::from(chance.u8(..6).saturating_sub(1)))).collect();
-            let (verdict, instead) = guard.judge(&state, table, &proposed);
-            let laid = instead.clone().unwrap_or_else(|| parts(&proposed));
-            let open = |server: &Address| state.is_open(&state.servers[server], &guard.figures);
+            let (verdict, instead) = guard.evaluate(&state, table, &proposed);
+            let laid = instead.clone().unwrap_or_else(|| normalize(&proposed));
+            let open = |server: &Address| state.is_available(&state.servers[server], &guard.config);
             if laid.is_empty() {
                 let was = recount
                     .0
@@ -381,14 +395,14 @@
                     .is_some_and(|(_, _, l)| !l.is_empty());
                 assert!(!was || !state.servers.keys().any(open), "{verdict}: left without a server");
             }
-            let typical = state.typical();
+            let typical = state.typical_rate();
             let load = |server: &Address, part: f64| {
-                let expected = |t: u16| state.expected(t, &guard.figures);
+                let expected = |t: u16| state.expected_demand(t, &guard.config);
                 let own = part.max(recount.most(table, server, state.now)) * expected(table);
                 own + recount.most(1 - table, server, state.now) * expected(1 - table)
             };
             let limit = |server: &Address| {
-                state.capacity(&state.servers[server], typical, &guard.figures).unwrap_or(f64::INFINITY)
+                state.capacity(&state.servers[server], typical, &guard.config).unwrap_or(f64::INFINITY)
             };
             let last = recount
                 .0
@@ -398,12 +412,13 @@
                 .map(|(_, _, l)| l.clone())
                 .unwrap_or_default();
             let grown = |server: &Address, part: f64| part > last.get(server).copied().unwrap_or(0.0) + 1e-9;
-            let over =
-                parts(&proposed).iter().any(|(s, p)| grown(s, *p) && load(s, *p) > limit(s) * (1.0 + 1e-6));
+            let over = normalize(&proposed)
+                .iter()
+                .any(|(s, p)| grown(s, *p) && load(s, *p) > limit(s) * (1.0 + 1e-6));
             let told =
                 verdict.findings.iter().any(|f| matches!(f.check, Check::Overload | Check::ColdOverload));
             assert_eq!(over, told, "{verdict}");
-            let wanted = parts(&proposed);
+            let wanted = normalize(&proposed);
             let away = last.iter().filter(|(s, _)| open(s));
             let moved: f64 =
                 away.map(|(s, old)| (old - wanted.get(s).copied().unwrap_or(0.0)).max(0.0)).sum();
@@ -414,9 +429,9 @@
             for finding in &verdict.findings {
                 if matches!(finding.check, Check::Overload | Check::ColdOverload) {
                     let worst = finding.servers[0];
-                    let part = parts(&proposed)[&worst];
+                    let part = normalize(&proposed)[&worst];
                     assert!(
-                        (load(&worst, part) - finding.found).abs() < 1e-6
+                        (load(&worst, part) - finding.value).abs() < 1e-6
                             && (limit(&worst) - finding.limit).abs() < 1e-6
                     );
                 }
@@ -426,13 +441,13 @@
                 outcome => {
                     refused += 1;
                     if !matches!(outcome, Outcome::NothingBetter) {
-                        assert!(laid.keys().all(|s| !state.binds_away(&state.servers[s])), "{verdict}");
+                        assert!(laid.keys().all(|s| !state.must_drain(&state.servers[s])), "{verdict}");
                     }
                     if let Outcome::Nearest { fits, .. } = outcome {
-                        let whole = state.expected(table, &guard.figures);
+                        let whole = state.expected_demand(table, &guard.config);
                         for (s, part) in &laid {
                             let other = recount.most(1 - table, s, state.now)
-                                * state.expected(1 - table, &guard.figures);
+                                * state.expected_demand(1 - table, &guard.config);
                             let past = part * whole + other > limit(s) * (1.0 + 1e-6);
                             assert!(!past || *fits < 1.0 - 1e-9, "{verdict}: {s} past what it may have");
                         }
@@ -457,23 +472,23 @@
         state.demand = [(0, chance.f64() * 20.0 * f64::from(count))].into();
         for s in state.servers.values_mut() {
             s.weight = f64::from(chance.u8(1..4));
-            s.proven = 5.0 * s.weight;
+            s.proven_rate = 5.0 * s.weight;
             if chance.u8(..4) == 0 {
                 s.started = 1000.0 - chance.f64() * 80.0;
             }
         }
-        let place: Lines = (0..count).map(|n| (server(n), f64::from(chance.u8(1..6)))).collect();
+        let place: Weights = (0..count).map(|n| (server(n), f64::from(chance.u8(1..6)))).collect();
         let mut guard = guard(&state, &place);
-        let (verdict, laid) = guard.judge(&state, 0, &lines(&[(0, 1.0)]));
+        let (verdict, laid) = guard.evaluate(&state, 0, &lines(&[(0, 1.0)]));
         let (Outcome::Nearest { moved, fits }, Some(laid)) = (&verdict.outcome, laid) else { continue };
         if *fits < 1.0 {
             continue;
         }
-        let before = parts(&place);
-        let whole = state.expected(0, &guard.figures);
-        let typical = state.typical();
+        let before = normalize(&place);
+        let whole = state.expected_demand(0, &guard.config);
+        let typical = state.typical_rate();
         let room: Vec<f64> = (0..count)
-            .map(|n| state.capacity(&state.servers[&server(n)], typical, &guard.figures).unwrap() / whole)
+            .map(|n| state.capacity(&state.servers[&server(n)], typical, &guard.config).unwrap() / whole)
             .collect();
         // Every way to deal the steps out.
         let mut best = f64::INFINITY;
@@ -513,16 +528,17 @@
     state.servers.get_mut(&server(1)).unwrap().started = 990.0;
     // 0.28 warm: it may have 7 queries a second; with 0.1 of the table it gets 1.5, or all 15.
     let lean = lines(&[(0, 9.0), (1, 1.0)]);
-    let mut one = Guard::new(Figures::default(), Mode::Enforce, WAY);
-    let (verdict, laid) = one.judge(&state, 0, &lean);
+    let mut one = Guard::new(GuardConfig::default(), Mode::Enforce, WAY);
+    let (verdict, laid) = one.evaluate(&state, 0, &lean);
     assert_eq!(verdict.findings.iter().map(|f| f.check).collect::<Vec<_>>(), [Check::Fragile]);
     let found = &verdict.findings[0];
-    assert!((found.found - 15.0).abs() < 1e-9 && (found.limit - 7.0).abs() < 1e-9, "{verdict}");
+    assert!((found.value - 15.0).abs() < 1e-9 && (found.limit - 7.0).abs() < 1e-9, "{verdict}");
     let laid = laid.unwrap();
     let most = laid.iter().filter(|(s, _)| **s != server(1)).map(|(_, part)| *part).fold(0.0, f64::max);
     assert!(laid[&server(1)] / (1.0 - most) * 15.0 <= 7.0 + 1e-6, "{laid:?}");
     (2..4).for_each(|n| state.servers.get_mut(&server(n)).unwrap().answered_at = None);
-    let (found, outcome) = checks(&mut Guard::new(Figures::default(), Mode::Enforce, WAY), &state, 0, &lean);
+    let (found, outcome) =
+        checks(&mut Guard::new(GuardConfig::default(), Mode::Enforce, WAY), &state, 0, &lean);
     assert_eq!((found, outcome), (vec![], Outcome::Fine));
 }
 
@@ -532,15 +548,15 @@
     let state = state(8, 10.0);
     let home = lines(&[(0, 1.0), (2, 1.0), (4, 1.0), (6, 1.0)]);
     let mut guard = guard(&state, &even(0..8));
-    guard.judge(&state, 1, &even(0..8));
+    guard.evaluate(&state, 1, &even(0..8));
     let both = [(0, home.clone()), (1, home.clone())].into();
     let mut together = guard.clone();
-    together.expect(&state, &both);
+    together.begin_round(&state, &both);
     for table in [0, 1] {
         assert_eq!(checks(&mut together, &state, table, &home).0, [Check::ZoneCut]);
     }
     // One that leaves alone is let go, as the other goes on there.
-    guard.expect(&state, &[(0, home.clone())].into());
+    guard.begin_round(&state, &[(0, home.clone())].into());
     assert_eq!(checks(&mut guard, &state, 0, &home).0, []);
     assert_eq!(checks(&mut guard, &state, 1, &home).0, [Check::ZoneCut]);
 }
@@ -549,7 +565,7 @@
 #[test]
 fn who_may_hold_a_table_counts_with_it() {
     let mut holders = Holders::new(WAY);
-    let of = |holders: &Holders, table| holders.of(table).collect::<Vec<_>>();
+    let of = |holders: &Holders, table| holders.askers_of(table).collect::<Vec<_>>();
     holders.bind(1, Some(0), 10.0);
     holders.bind(2, Some(0), 10.0);
     holders.bind(1, Some(3), 11.0);
@@ -575,23 +591,23 @@
     over.demand.remove(&1);
     let wrong = lines(&[(0, 9.0), (1, 1.0), (2, 1.0), (3, 1.0)]);
     let mut guard = guard(&over, &even(0..4));
-    let levels = |guard: &Guard| guard.relief(0).map(|r| r.levels(&[1.0, 2.0], &[100.0, 60.0]));
-    assert!(matches!(guard.judge(&over, 0, &wrong).0.outcome, Outcome::Nearest { fits: 0.5, .. }));
+    let levels = |guard: &Guard| guard.admission_limit(0).map(|r| r.levels(&[1.0, 2.0], &[100.0, 60.0]));
+    assert!(matches!(guard.evaluate(&over, 0, &wrong).0.outcome, Outcome::Nearest { fits: 0.5, .. }));
     assert_eq!(levels(&guard), None);
-    over.failing = 0.2;
-    guard.judge(&over, 0, &wrong);
+    over.failure_rate = 0.2;
+    guard.evaluate(&over, 0, &wrong);
     assert_eq!(levels(&guard), Some(vec![0.2, 1.0]));
     // Reports stop: what failed before them refuses nobody any more.
     let mut silent = guard.clone();
     let late = State { now: 1030.0, ..over.clone() };
-    silent.judge(&late, 0, &wrong);
+    silent.evaluate(&late, 0, &wrong);
     assert_eq!(levels(&silent), None);
     // The demand is gone: 0.05 a second more.
-    (over.now, over.measured_at, over.failing) = (1004.0, 1004.0, 0.0);
+    (over.now, over.measured_at, over.failure_rate) = (1004.0, 1004.0, 0.0);
     over.demand.insert(0, 10.0);
-    guard.judge(&over, 0, &even(0..4));
-    assert!((guard.relief(0).unwrap().part - 0.7).abs() < 1e-9);
+    guard.evaluate(&over, 0, &even(0..4));
+    assert!((guard.admission_limit(0).unwrap().share - 0.7).abs() < 1e-9);
     (over.now, over.measured_at) = (1011.0, 1011.0);
-    guard.judge(&over, 0, &even(0..4));
+    guard.evaluate(&over, 0, &even(0..4));
     assert_eq!(levels(&guard), None);
 }
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -159,12 +159,12 @@
     let until = now + seconds;
     match command {
         GuardCommand::Override { check, by, .. } => {
-            guard.overrides.push(Override { check: *check, by: by.clone(), until });
+            guard.overrides.push(Override { check: *check, author: by.clone(), expires_at: until });
         }
         GuardCommand::Pin { server, least, most, .. } => {
             let server = Address { host: server.ip().octets(), port: server.port() };
             guard.pins.retain(|pin| pin.server != server);
-            guard.pins.push(Pin { server, least: *least, most: *most, until });
+            guard.pins.push(Pin { server, min_share: *least, max_share: *most, expires_at: until });
         }
         GuardCommand::Explain => {}
     }
--- a/pilot/src/guard_check.rs
+++ b/pilot/src/guard_check.rs
@@ -2,7 +2,7 @@
 
 use crate::guard_review;
 use oatlever::round::Address;
-use oatlever_guard::{Figures, Guard, Lines, Listed, Mode, Outcome, Server, State};
+use oatlever_guard::{Guard, GuardConfig, ListStatus, Mode, Outcome, Server, State, Weights};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -37,14 +37,14 @@
     #[serde(default)]
     gone_binds: bool,
     #[serde(default)]
-    figures: Figures,
+    figures: GuardConfig,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ServerState {
     zone: u16,
-    listed: Listed,
+    listed: ListStatus,
     weight: f64,
     #[serde(default)]
     started_ago: Option<f64>,
@@ -74,7 +74,7 @@
     Ok(Address { host: host.ip().octets(), port: host.port() })
 }
 
-fn lines(weights: &BTreeMap<String, f64>) -> Result<Lines, String> {
+fn lines(weights: &BTreeMap<String, f64>) -> Result<Weights, String> {
     weights.iter().map(|(text, weight)| Ok((address(text)?, *weight))).collect()
 }
 
@@ -92,27 +92,27 @@
         cold_share: file.cold_share,
         warm_within: file.warm_within,
         fall_multiple: file.fall_multiple,
-        gone_binds: file.gone_binds,
+        drain_gone: file.gone_binds,
         ..State::default()
     };
     for (text, entry) in &file.servers {
         let server = Server {
             zone: entry.zone,
-            listed: entry.listed,
+            list_status: entry.listed,
             weight: entry.weight,
             started: entry.started_ago.map_or(0.0, |ago| NOW - ago),
-            listed_at: entry.listed_ago.map_or(0.0, |ago| NOW - ago),
+            status_changed_at: entry.listed_ago.map_or(0.0, |ago| NOW - ago),
             failed_at: entry.failed_ago.map(|ago| NOW - ago),
             answered_at: entry.answered_ago.map(|ago| NOW - ago),
-            checked: entry.checked_ago.map(|ago| (NOW - ago, entry.fine)),
-            proven: entry.proven,
+            last_check: entry.checked_ago.map(|ago| (NOW - ago, entry.fine)),
+            proven_rate: entry.proven,
         };
         known.servers.insert(address(text).map_err(with_path(state))?, server);
     }
     let mut guard = Guard::new(file.figures, Mode::Enforce, 0.0);
-    guard.take_up(&known, 0, &lines(&file.in_place).map_err(with_path(state))?);
+    guard.set_current(&known, 0, &lines(&file.in_place).map_err(with_path(state))?);
     known.demand.insert(0, file.demand);
-    let (verdict, instead) = guard.judge(&known, 0, &lines(&proposal.lines).map_err(with_path(table))?);
+    let (verdict, instead) = guard.evaluate(&known, 0, &lines(&proposal.lines).map_err(with_path(table))?);
     let mut value = guard_review::verdict_json(&verdict, NOW);
     if let Some(lines) = instead {
         let lines = lines.into_iter().map(|(server, weight)| (server.to_string(), weight));
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -3,7 +3,7 @@
 
 use oatlever::round::{Address, Readiness, Round};
 use oatlever_guard::{
-    Entry, Evidence, Finding, Guard, Holders, Lines, Listed, Mode, Outcome, State, Verdict,
+    Evidence, Finding, Guard, Holders, ListStatus, ListedServer, Mode, Outcome, State, Verdict, Weights,
 };
 use oatlever_roster::Book;
 use oatlever_settings::Settings;
@@ -35,7 +35,7 @@
             cold_share: settings.rules.cold_share,
             warm_within: settings.rules.warm_within,
             fall_multiple: settings.rules.fall_multiple,
-            gone_binds: !settings.rules.gone_does_not_bind,
+            drain_gone: !settings.rules.gone_does_not_bind,
             ..State::default()
         };
         let holders = Holders::new(settings.longest_use());
@@ -44,22 +44,22 @@
 
     /// Takes in a round's reports and the current list of servers.
     pub fn observe(&mut self, round: &Round, book: &Book, tables: &Tables, settings: &Settings) {
-        self.evidence.hear(&round.tries, &round.queries, &round.health, round.now);
+        self.evidence.observe(&round.tries, &round.queries, &round.health, round.now);
         let named = tables.all().flat_map(|(_, _, index, _)| index.lines()).map(|line| line.server);
         let known: BTreeSet<Address> = book.members().keys().copied().chain(named).collect();
-        self.evidence.keep_only(&known);
+        self.evidence.retain(&known);
         let entry = |server: Address| {
             let member = book.known(&server)?;
-            let listed = match book.members().get(&server).map(|member| member.readiness) {
-                Some(Readiness::Ready) => Listed::Ready,
-                Some(Readiness::Draining) => Listed::Draining,
-                Some(Readiness::Gone) | None => Listed::Gone,
+            let list_status = match book.members().get(&server).map(|member| member.readiness) {
+                Some(Readiness::Ready) => ListStatus::Ready,
+                Some(Readiness::Draining) => ListStatus::Draining,
+                Some(Readiness::Gone) | None => ListStatus::Gone,
             };
             let (zone, weight, started) = (member.zone, member.weight, member.started);
-            Some((server, Entry { zone, listed, weight, started }))
+            Some((server, ListedServer { zone, list_status, weight, started }))
         };
         self.state.now = round.now;
-        self.evidence.tell(known.into_iter().filter_map(entry), &mut self.state);
+        self.evidence.update_state(known.into_iter().filter_map(entry), &mut self.state);
         for asker in 0..settings.askers.len() as u16 {
             self.holders.bind(asker, tables.bound(asker), round.now);
         }
@@ -72,7 +72,7 @@
     /// Queries per second of all askers that may hold a table.
     fn demand(&self, table: u16, settings: &Settings) -> f64 {
         let usual = |asker: u16| settings.askers[usize::from(asker)].usual_rate;
-        self.holders.of(table).map(|asker| self.evidence.rate(asker, usual(asker))).sum()
+        self.holders.askers_of(table).map(|asker| self.evidence.query_rate(asker, usual(asker))).sum()
     }
 
     pub fn review<'a>(&'a mut self, settings: &'a Settings) -> RoundReview<'a> {
@@ -81,12 +81,12 @@
 }
 
 impl Review for RoundReview<'_> {
-    fn expect(&mut self, proposals: &BTreeMap<u16, Lines>) {
+    fn expect(&mut self, proposals: &BTreeMap<u16, Weights>) {
         let parent = &mut *self.parent;
-        parent.guard.expect(&parent.state, proposals);
+        parent.guard.begin_round(&parent.state, proposals);
     }
 
-    fn lines(&mut self, table: u16, lines: &Lines, users: &BTreeSet<u16>) -> Option<Lines> {
+    fn lines(&mut self, table: u16, lines: &Weights, users: &BTreeSet<u16>) -> Option<Weights> {
         // Askers bound in this round already count towards the table's demand.
         let parent = &mut *self.parent;
         for asker in users {
@@ -94,7 +94,7 @@
         }
         let demand = parent.demand(table, self.settings);
         parent.state.demand.insert(table, demand);
-        let (verdict, instead) = parent.guard.judge(&parent.state, table, lines);
+        let (verdict, instead) = parent.guard.evaluate(&parent.state, table, lines);
         let same = |old: &Verdict| {
             let checks = |verdict: &Verdict| verdict.findings.iter().map(|f| f.check).collect::<Vec<_>>();
             checks(old) == checks(&verdict) && old.outcome.name() == verdict.outcome.name()
@@ -115,18 +115,18 @@
         let classes = &self.settings.classes;
         let index = usize::from(class);
         let parent = &mut *self.parent;
-        let tries = parent.guard.tries(table, class, classes[index].once, tries, parent.state.now);
-        let Some(relief) = parent.guard.relief(table) else { return (level, tries) };
+        let tries = parent.guard.retry_mode(table, class, classes[index].once, tries, parent.state.now);
+        let Some(relief) = parent.guard.admission_limit(table) else { return (level, tries) };
         let benefit: Vec<f64> = classes.iter().map(|class| class.benefit).collect();
-        let demand = parent.evidence.by_class(parent.holders.of(table), classes.len());
+        let demand = parent.evidence.rates_by_class(parent.holders.askers_of(table), classes.len());
         (level.min(relief.levels(&benefit, &demand)[index]), tries)
     }
 }
 
 fn finding_json(finding: &Finding) -> Value {
     let servers: Vec<String> = finding.servers.iter().map(Address::to_string).collect();
-    json!({"check": finding.check, "servers": servers, "found": finding.found, "limit": finding.limit,
-           "age": finding.age, "text": finding.to_string()})
+    json!({"check": finding.check, "servers": servers, "found": finding.value, "limit": finding.limit,
+           "age": finding.data_age, "text": finding.to_string()})
 }
 
 pub fn verdict_json(verdict: &Verdict, now: f64) -> Value {
@@ -142,12 +142,13 @@
 /// The guard's state as JSON, for `oatlever guard at explain`.
 pub fn explain(guard: &Guard, now: f64) -> Value {
     let overrides = guard.overrides.iter();
-    let overrides = overrides.map(|o| json!({"check": o.check, "by": o.by, "for": o.until - now}));
+    let overrides = overrides.map(|o| json!({"check": o.check, "by": o.author, "for": o.expires_at - now}));
     let pins = guard.pins.iter().map(|pin| {
-        json!({"server": pin.server.to_string(), "least": pin.least, "most": pin.most, "for": pin.until - now})
+        json!({"server": pin.server.to_string(), "least": pin.min_share, "most": pin.max_share,
+               "for": pin.expires_at - now})
     });
     json!({"mode": if guard.mode == Mode::Report { "report" } else { "enforce" },
            "findings": guard.findings, "outcomes": guard.outcomes,
            "overrides": overrides.collect::<Vec<_>>(), "pins": pins.collect::<Vec<_>>(),
-           "verdicts": guard.told().map(|verdict| verdict_json(verdict, now)).collect::<Vec<_>>()})
+           "verdicts": guard.recent_verdicts().map(|verdict| verdict_json(verdict, now)).collect::<Vec<_>>()})
 }
--- a/settings/src/shape.rs
+++ b/settings/src/shape.rs
@@ -1,6 +1,6 @@
 //! What settings look like. The comments here are the schema's descriptions.
 
-use oatlever_guard::{Figures, Mode};
+use oatlever_guard::{GuardConfig, Mode};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
 pub struct Guard {
     /// `report` says what it finds, `enforce` lays another table.
     pub mode: Mode,
-    pub figures: Figures,
+    pub figures: GuardConfig,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
