--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -77,7 +77,7 @@
                            "connections": 64, "connections_each": 8, "idle": 1.0}},
         "status": {"listen": "127.0.0.1:0", "away_after": 5}
     });
-    oatlever_settings::read(&text.to_string()).expect("right settings")
+    oatlever_settings::parse(&text.to_string()).expect("right settings")
 }
 
 /// A question with EDNS for 1,232 bytes.
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -93,13 +93,14 @@
         let mut trusted = Prefixes::default();
         let (mut rest, mut zones) = (vec![None; settings.zones.len()], Vec::new());
         for (place, asker) in settings.askers.iter().enumerate() {
-            let zone = settings.zone(&asker.zone).unwrap_or(0);
+            let zone = settings.zone_index(&asker.zone).unwrap_or(0);
             zones.push(zone);
             if asker.prefixes.is_empty() {
                 rest[usize::from(zone)] = Some(place as u16);
             }
         }
-        for (host, bits) in settings.dns.trusted_resolvers.iter().filter_map(|t| checks::prefix(t).ok()) {
+        for (host, bits) in settings.dns.trusted_resolvers.iter().filter_map(|t| checks::parse_prefix(t).ok())
+        {
             trusted.insert(host, bits, 0);
         }
         let limits = &settings.dns.limits;
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -33,7 +33,7 @@
                 "limits": {"answers_per_second": 10, "burst": 20, "prefix_bits": 32, "prefixes": 64,
                            "connections": 10, "connections_each": 5, "idle": 1}},
         "status": {"listen": "127.0.0.1:7300", "away_after": 5}}"#;
-    oatlever_settings::read(text).unwrap()
+    oatlever_settings::parse(text).unwrap()
 }
 
 const LIVES: Lives = Lives { long: 1, short: 1, overstay: 0.5 };
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -131,7 +131,8 @@
     let mut core = pilot.core.borrow_mut();
     let price = price.parse::<f64>().ok().filter(|price| price.is_finite() && *price >= 0.0);
     let price = price.ok_or("a price must be a number of 0 or more")?;
-    let index = core.settings.zone(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
+    let index =
+        core.settings.zone_index(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
     let planning = core.planning.as_mut().ok_or("the settings have no /costs")?;
     planning.planner.set_price(usize::from(index), price);
     tracing::warn!(zone, price, "zone price changed by command");
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -72,7 +72,7 @@
 fn prefixes(settings: &Settings) -> Prefixes {
     let mut prefixes = Prefixes::default();
     for (index, asker) in settings.askers.iter().enumerate() {
-        for (host, bits) in asker.prefixes.iter().filter_map(|text| checks::prefix(text).ok()) {
+        for (host, bits) in asker.prefixes.iter().filter_map(|text| checks::parse_prefix(text).ok()) {
             prefixes.insert(host, bits, index as u16);
         }
     }
@@ -84,7 +84,7 @@
         let now = checks::CLOCK_START;
         let owner = |(index, asker): (usize, &oatlever_settings::Asker)| AskerInfo {
             asker: index as u16,
-            zone: settings.zone(&asker.zone).unwrap_or(0),
+            zone: settings.zone_index(&asker.zone).unwrap_or(0),
             has_counters: asker.metrics.is_some(),
         };
         let owners: Vec<AskerInfo> = settings.askers.iter().enumerate().map(owner).collect();
@@ -99,7 +99,7 @@
         let always_up = owners.iter().zip(&kinds).map(|(o, kind)| !o.has_counters && *kind != Kind::Stream);
         let always_up: Vec<bool> = always_up.collect();
         let classes = settings.classes.len();
-        let pull = Pull::new(&kinds, classes, settings.longest_hold(), now);
+        let pull = Pull::new(&kinds, classes, settings.max_cache_time(), now);
         let names = settings.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             clock: Clock::starting_at(now),
@@ -107,7 +107,7 @@
                 settings.site(),
                 settings.query_classes(),
                 settings.pull_channel(),
-                settings.rule_figures(),
+                settings.rule_parameters(),
                 seed,
             ),
             tables: Tables::new(settings.askers.len(), classes, pull, HISTORY),
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -30,7 +30,7 @@
 impl GuardReview {
     pub fn new(settings: &Settings) -> Option<Self> {
         let guard = settings.guard.as_ref()?;
-        let guard = Guard::new(guard.figures.clone(), guard.mode, settings.longest_use());
+        let guard = Guard::new(guard.figures.clone(), guard.mode, settings.max_table_lifetime());
         let state = State {
             cold_share: settings.rules.cold_share,
             warm_within: settings.rules.warm_within,
@@ -38,7 +38,7 @@
             drain_gone: !settings.rules.gone_does_not_bind,
             ..State::default()
         };
-        let holders = Holders::new(settings.longest_use());
+        let holders = Holders::new(settings.max_table_lifetime());
         Some(GuardReview { guard, evidence: Evidence::default(), holders, state, reported: BTreeMap::new() })
     }
 
--- a/pilot/src/main.rs
+++ b/pilot/src/main.rs
@@ -133,7 +133,7 @@
         eprintln!("oatlever: {}: {e}", path.display());
         ExitCode::from(INVALID_INPUT)
     })?;
-    oatlever_settings::read(&text).map_err(|mistakes| {
+    oatlever_settings::parse(&text).map_err(|mistakes| {
         for mistake in mistakes {
             eprintln!("oatlever: {}: {mistake}", path.display());
         }
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -28,7 +28,7 @@
 impl Planning {
     pub fn new(settings: &Settings) -> Option<Self> {
         let costs = settings.costs.as_ref()?;
-        let (prices, links) = settings.prices(costs);
+        let (prices, links) = settings.cost_model(costs);
         let due_time = settings.classes.iter().map(|class| class.due_time).min_by(f64::total_cmp);
         let planner = Planner::new(costs.figures.clone(), prices, links, due_time);
         Some(Planning { planner, outcomes: BTreeMap::new(), last: None })
--- a/settings/src/checks.rs
+++ b/settings/src/checks.rs
@@ -1,18 +1,18 @@
 //! Checks of the parts of the settings against each other.
 
-use crate::{Costs, Grant, Mistake, Settings, Xds};
+use crate::{Costs, Grant, Settings, SettingsError, Xds};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
 /// s; the pilot's clock starts this high, so that what started before it has a positive time.
 pub const CLOCK_START: f64 = 100_000.0;
 
-fn wrong(at: String, found: impl ToString, expected: impl ToString) -> Mistake {
-    Mistake { at, found: found.to_string(), expected: expected.to_string() }
+fn wrong(at: String, found: impl ToString, expected: impl ToString) -> SettingsError {
+    SettingsError { pointer: at, found: found.to_string(), expected: expected.to_string() }
 }
 
 /// An IPv4 prefix as address and bits. Errors: what a prefix looks like.
-pub fn prefix(text: &str) -> Result<(Ipv4Addr, u8), &'static str> {
+pub fn parse_prefix(text: &str) -> Result<(Ipv4Addr, u8), &'static str> {
     let expected = "an IPv4 prefix with no bits past its length, as 10.1.0.0/16";
     let (host, bits) = text.split_once('/').ok_or(expected)?;
     let host: Ipv4Addr = host.parse().map_err(|_| expected)?;
@@ -33,7 +33,12 @@
         && !text.ends_with('-')
 }
 
-fn labels_once<'a>(at: &str, names: impl Iterator<Item = &'a str>, out: &mut Vec<Mistake>, field: &str) {
+fn labels_once<'a>(
+    at: &str,
+    names: impl Iterator<Item = &'a str>,
+    out: &mut Vec<SettingsError>,
+    field: &str,
+) {
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     for (place, name) in names.enumerate() {
         let at = format!("{at}/{place}{field}");
@@ -54,7 +59,7 @@
 }
 
 /// A grant that nobody can use, or a node that nobody may be, is found here rather than on a bad day.
-fn grants(s: &Settings, xds: &Xds, out: &mut Vec<Mistake>) {
+fn grants(s: &Settings, xds: &Xds, out: &mut Vec<SettingsError>) {
     let proven = xds.tls.as_ref().is_some_and(|tls| tls.authorities.is_some());
     if !xds.grants.is_empty() && !proven {
         let needed = "/xds/tls/authorities, as identities come from certificates";
@@ -67,7 +72,7 @@
             (Some(name), None) if !node(name) => {
                 out.push(wrong(format!("{at}/node"), format!("{name:?}"), "the node of an asker"));
             }
-            (None, Some(zone)) if s.zone(zone).is_none() => {
+            (None, Some(zone)) if s.zone_index(zone).is_none() => {
                 let zones = format!("one of /zones: {}", s.zones.join(", "));
                 out.push(wrong(format!("{at}/zone"), format!("{zone:?}"), zones));
             }
@@ -88,11 +93,11 @@
 }
 
 /// Prices of zones that there are, all of them; ways between two of them.
-fn costs(s: &Settings, costs: &Costs, out: &mut Vec<Mistake>) {
+fn costs(s: &Settings, costs: &Costs, out: &mut Vec<SettingsError>) {
     let zones = format!("one of /zones: {}", s.zones.join(", "));
     for (name, price) in &costs.prices {
         let at = format!("/costs/prices/{name}");
-        if s.zone(name).is_none() {
+        if s.zone_index(name).is_none() {
             out.push(wrong(at.clone(), format!("{name:?}"), &zones));
         }
         if !(price.is_finite() && *price >= 0.0) {
@@ -105,7 +110,7 @@
     let mut ways: BTreeMap<(u16, u16), usize> = BTreeMap::new();
     for (place, way) in costs.links.iter().enumerate() {
         let at = format!("/costs/links/{place}/between");
-        let ends: Vec<u16> = way.between.iter().filter_map(|name| s.zone(name)).collect();
+        let ends: Vec<u16> = way.between.iter().filter_map(|name| s.zone_index(name)).collect();
         let [a, b] = ends[..] else {
             out.push(wrong(at, way.between.join(", "), format!("two zones, each {zones}")));
             continue;
@@ -119,7 +124,7 @@
     }
 }
 
-pub fn across(s: &Settings) -> Vec<Mistake> {
+pub fn cross_check(s: &Settings) -> Vec<SettingsError> {
     let mut out = Vec::new();
     if let Some(found) = &s.costs {
         costs(s, found, &mut out);
@@ -135,7 +140,7 @@
     }
 
     // An answer that a resolver holds is a line in a table: what it holds must run out in time.
-    let hold = s.longest_hold();
+    let hold = s.max_cache_time();
     let sum = format!("lifetime {} + overstay {} = {hold} s", s.dns.lifetime, s.dns.overstay);
     if hold >= s.rules.drain_grace {
         let most = format!(
@@ -198,13 +203,13 @@
             let own = format!("a name of its own; asker {first} has the same");
             out.push(wrong(format!("{at}/name"), format!("{:?}", asker.name), own));
         }
-        if s.zone(&asker.zone).is_none() {
+        if s.zone_index(&asker.zone).is_none() {
             let zones = format!("one of /zones: {}", s.zones.join(", "));
             out.push(wrong(format!("{at}/zone"), format!("{:?}", asker.zone), zones));
         }
         for (n, text) in asker.prefixes.iter().enumerate() {
             let at = format!("{at}/prefixes/{n}");
-            if let Err(expected) = prefix(text) {
+            if let Err(expected) = parse_prefix(text) {
                 out.push(wrong(at, format!("{text:?}"), expected));
             } else if let Some(first) = prefixes.insert(text.clone(), place) {
                 out.push(wrong(
@@ -239,7 +244,7 @@
         grants(s, xds, &mut out);
     }
     for (n, text) in s.dns.trusted_resolvers.iter().enumerate() {
-        if let Err(expected) = prefix(text) {
+        if let Err(expected) = parse_prefix(text) {
             out.push(wrong(format!("/dns/trusted_resolvers/{n}"), format!("{text:?}"), expected));
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -15,16 +15,16 @@
 
 /// Something wrong in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct SettingsError {
     /// JSON pointer (RFC 6901) to the place; empty for the whole text.
-    pub at: String,
+    pub pointer: String,
     pub found: String,
     pub expected: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let at = if self.at.is_empty() { "(whole text)" } else { &self.at };
+        let at = if self.pointer.is_empty() { "(whole text)" } else { &self.pointer };
         write!(f, "{at}: found {}; expected {}", self.found, self.expected)
     }
 }
@@ -47,7 +47,7 @@
 
 /// Tells an error in the settings. A part that may be left out is none or as its schema says; where it is there,
 /// what is wrong with it is told, not that it is neither.
-fn tell(error: &ValidationError, mistakes: &mut Vec<Mistake>) {
+fn tell(error: &ValidationError, mistakes: &mut Vec<SettingsError>) {
     if let (ValidationErrorKind::AnyOf { context }, false) = (error.kind(), error.instance().is_null()) {
         let other = |inner: &ValidationError| {
             let here = inner.instance_path() == error.instance_path();
@@ -58,17 +58,17 @@
             return branch.iter().for_each(|inner| tell(inner, mistakes));
         }
     }
-    mistakes.push(Mistake {
-        at: error.instance_path().to_string(),
+    mistakes.push(SettingsError {
+        pointer: error.instance_path().to_string(),
         found: quote(error.instance()),
         expected: error.masked().to_string(),
     });
 }
 
 /// Reads settings. Errors: every mistake found, in order of place.
-pub fn read(text: &str) -> Result<Settings, Vec<Mistake>> {
+pub fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let whole = |found: String, expected: &str| {
-        vec![Mistake { at: String::new(), found, expected: expected.to_string() }]
+        vec![SettingsError { pointer: String::new(), found, expected: expected.to_string() }]
     };
     let value: serde_json::Value =
         serde_json::from_str(text).map_err(|e| whole(e.to_string(), "a JSON text"))?;
@@ -79,28 +79,28 @@
     if mistakes.is_empty() {
         let settings: Settings =
             serde_json::from_value(value).map_err(|e| whole(e.to_string(), "settings as the schema says"))?;
-        mistakes = checks::across(&settings);
+        mistakes = checks::cross_check(&settings);
         if mistakes.is_empty() {
             return Ok(settings);
         }
     }
-    mistakes.sort_by(|a, b| a.at.cmp(&b.at));
+    mistakes.sort_by(|a, b| a.pointer.cmp(&b.pointer));
     Err(mistakes)
 }
 
 impl Settings {
-    pub fn zone(&self, name: &str) -> Option<u16> {
+    pub fn zone_index(&self, name: &str) -> Option<u16> {
         self.zones.iter().position(|zone| zone == name).map(|place| place as u16)
     }
 
     /// Seconds from an order until no asker that keeps the stated lifetime holds what was before.
-    pub fn longest_hold(&self) -> f64 {
+    pub fn max_cache_time(&self) -> f64 {
         f64::from(self.dns.lifetime) + self.dns.overstay
     }
 
     /// Seconds that a table may be in use after the next was laid: answers run out, streams are cut off.
-    pub fn longest_use(&self) -> f64 {
-        self.longest_hold().max(self.xds.as_ref().map_or(0.0, |xds| xds.patience))
+    pub fn max_table_lifetime(&self) -> f64 {
+        self.max_cache_time().max(self.xds.as_ref().map_or(0.0, |xds| xds.patience))
     }
 
     /// The deployment, as the decisions are told of it. Levels are not honoured by those who ask by DNS,
@@ -131,11 +131,11 @@
     }
 
     /// Prices by zone, and the ways between zones.
-    pub fn prices(&self, costs: &Costs) -> (Vec<f64>, Vec<Vec<Link>>) {
+    pub fn cost_model(&self, costs: &Costs) -> (Vec<f64>, Vec<Vec<Link>>) {
         let prices = self.zones.iter().map(|zone| costs.prices.get(zone).copied().unwrap_or(0.0));
         let mut links = vec![vec![Link::default(); self.zones.len()]; self.zones.len()];
         for way in &costs.links {
-            let ends: Vec<u16> = way.between.iter().filter_map(|name| self.zone(name)).collect();
+            let ends: Vec<u16> = way.between.iter().filter_map(|name| self.zone_index(name)).collect();
             let [a, b] = ends[..] else { continue };
             let link = Link { price: way.price, time: way.time, closed: way.closed };
             for (from, to) in [(a, b), (b, a)] {
@@ -153,11 +153,11 @@
             header_lines: 0.0,
             most_messages: self.channel.most_messages,
             window: self.channel.window,
-            longest_way: self.longest_hold(),
+            longest_way: self.max_cache_time(),
         }
     }
 
-    pub fn rule_figures(&self) -> round::Rules {
+    pub fn rule_parameters(&self) -> round::Rules {
         round::Rules {
             ask_within: self.roster.period + self.roster.patience,
             cold_share: self.rules.cold_share,
--- a/settings/src/shape.rs
+++ b/settings/src/shape.rs
@@ -50,7 +50,7 @@
     pub prices: BTreeMap<String, f64>,
     /// Ways between zones; a way that is not named costs nothing and takes no time.
     #[serde(default)]
-    pub links: Vec<Way>,
+    pub links: Vec<ZoneLink>,
     #[serde(default)]
     pub figures: oatlever_cost::PlannerConfig,
 }
@@ -58,7 +58,8 @@
 /// The way between two zones, there and back alike.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Way {
+#[schemars(rename = "Way")]
+pub struct ZoneLink {
     /// Two zones.
     #[schemars(length(min = 2, max = 2))]
     pub between: Vec<String>,
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-use oatlever_settings::{read, schema, Mistake};
+use oatlever_settings::{parse, schema, SettingsError};
 use serde_json::{json, Value};
 
 fn right() -> Value {
@@ -22,7 +22,7 @@
 }
 
 /// The mistakes of settings in which the values at these pointers are others; null takes one away.
-fn mistakes(changes: &[(&str, Value)]) -> Vec<Mistake> {
+fn mistakes(changes: &[(&str, Value)]) -> Vec<SettingsError> {
     let mut settings = right();
     for (at, value) in changes {
         let (parent, key) = at.rsplit_once('/').unwrap();
@@ -34,16 +34,16 @@
             _ => panic!("{at}"),
         }
     }
-    read(&settings.to_string()).err().unwrap_or_default()
+    parse(&settings.to_string()).err().unwrap_or_default()
 }
 
 #[test]
 fn right_settings_are_read() {
-    let settings = read(&right().to_string()).unwrap();
-    assert_eq!(settings.longest_hold(), 1.5);
+    let settings = parse(&right().to_string()).unwrap();
+    assert_eq!(settings.max_cache_time(), 1.5);
     assert_eq!((settings.site().zones, settings.query_classes().len()), (2, 1));
     let told = serde_json::to_string(&settings).unwrap();
-    assert_eq!(serde_json::to_string(&read(&told).unwrap()).unwrap(), told);
+    assert_eq!(serde_json::to_string(&parse(&told).unwrap()).unwrap(), told);
 }
 
 #[test]
@@ -87,7 +87,7 @@
     for (at, value, expected) in cases {
         let found = mistakes(&[(at, value.clone())]);
         let told = found.iter().any(|m| {
-            (m.at.starts_with(at) || at.starts_with(&m.at) || m.at == "/askers/1/prefixes")
+            (m.pointer.starts_with(at) || at.starts_with(&m.pointer) || m.pointer == "/askers/1/prefixes")
                 && m.to_string().contains(expected)
         });
         assert!(told, "{at} = {value}: {found:?}");
@@ -112,7 +112,7 @@
         ("/classes/0/benefit", json!("much")),
         ("/status/listen", Value::Null),
     ]);
-    let places: Vec<&str> = found.iter().map(|m| m.at.as_str()).collect();
+    let places: Vec<&str> = found.iter().map(|m| m.pointer.as_str()).collect();
     assert_eq!(places, ["/classes/0/benefit", "/rules/drain_grace", "/status"], "{found:?}");
 }
 
@@ -120,7 +120,7 @@
 fn any_cut_of_the_text_is_refused_with_its_place() {
     let text = right().to_string();
     for cut in 0..text.len() {
-        let found = read(&text[..cut]).unwrap_err();
+        let found = parse(&text[..cut]).unwrap_err();
         assert!(found[0].found.contains("line 1 column"), "{}", found[0]);
     }
 }
@@ -139,7 +139,7 @@
         let asker = json!({"name": "relay", "zone": "north", "node": "r1", "usual_rate": 5});
         let xds = json!({"listen": ["127.0.0.1:7400"], "patience": 1, "grants": grants, "tls": tls});
         let told = mistakes(&[("/askers/0", asker), ("/xds", xds)]);
-        told.into_iter().map(|mistake| mistake.at).collect::<Vec<_>>()
+        told.into_iter().map(|mistake| mistake.pointer).collect::<Vec<_>>()
     };
     let mutual = json!({"certificate": "c", "key": "k", "authorities": "a"});
     let zone = json!({"identity": "spiffe://shops/*", "zone": "north"});
