--- a/cost/src/capacity.rs
+++ b/cost/src/capacity.rs
@@ -1,143 +1,162 @@
-//! What servers can carry, learnt from how they fare: queries a second for a unit of weight.
+//! Estimates server capacity from observed latency and failures, in queries per second and unit of weight.
 //!
-//! A rate that is answered is proven; how much more there is shows only by asking for more. So the figure follows
-//! how long the fullest zones take: up while that is well under what is allowed, down while it is over, each in
-//! proportion, as a step that is too large swings from one zone to the next. It never falls under what is
-//! answered: servers that are past what they can do answer just that.
+//! A rate that is answered is a lower bound of the capacity; more can only be found by sending more. The estimate
+//! is therefore controlled by the latency of the busiest zones: it rises while their latency is well below the
+//! target and falls while it is above, in proportion to the distance, because steps that are too large oscillate
+//! between zones. It never falls below the answered rate: overloaded servers answer exactly what they can do.
 
 use std::collections::BTreeMap;
 
-/// Part of the figure; a zone asked for so much tells whether it is right.
-const BUSY: f64 = 0.7;
-/// Times the usual time of a zone's answers that plans aim at: queries wait, and not for long. With a few cores a
-/// server, that is at about five sixths of what it can do.
-const SLOW: f64 = 2.5;
-/// Part of the tightest due time that they aim at, at most.
-const LATE: f64 = 0.5;
-/// Part of a busy zone's tries that fail and count for as much as being slow twice over.
-const FAILING: f64 = 0.05;
-/// Parts a second that the figure falls by where answers take twice as long as allowed or longer, and rises by
-/// where they take half of that. What is ordered shows some six seconds later, and nearly full servers take ten
-/// more to show it: by then it must not have risen by more than a tenth.
-const DOWN: f64 = 0.03;
-const UP: f64 = 0.006;
-/// The same before any zone was ever near what is allowed: what was seen first may be a quiet night.
-const SEARCH: f64 = 0.03;
-/// Part of the allowed time; nearer, the search is over.
-const NEAR: f64 = 0.7;
-/// Part of what is answered that the figure does not fall under.
-const ANSWERED: f64 = 0.9;
-/// s; rates and times fade over this, a few reports.
-const SPAN: f64 = 4.0;
-/// s; the usual time forgets half of its lead over what is seen in this: classes and software change.
-const USUAL_HALF: f64 = 300.0;
-/// Times the figure that was stated or first seen, either way, that it may go to.
-const RANGE: f64 = 10.0;
+/// Fraction of the estimate from which a zone is busy enough to be evidence for or against it.
+const BUSY_LOAD: f64 = 0.7;
+/// Target latency as a multiple of a zone's baseline, so that queries queue only briefly. With a few cores per
+/// server this corresponds to about five sixths of the capacity.
+const TARGET_LATENCY_FACTOR: f64 = 2.5;
+/// Maximum target latency as a fraction of the shortest due time.
+const TARGET_DUE_TIME_SHARE: f64 = 0.5;
+/// Fraction of failed tries in a busy zone that weighs as much as a latency of twice the target.
+const FAILURE_SCALE: f64 = 0.05;
+/// Relative decrease per second at twice the target latency or more, and half the relative increase per second at
+/// half the target latency. A plan takes effect some six seconds after it is issued, and nearly full servers take
+/// ten more to show it: by then the estimate must not have risen by more than a tenth.
+const DECREASE_RATE: f64 = 0.03;
+const INCREASE_RATE: f64 = 0.006;
+/// Replaces `INCREASE_RATE` until some zone was close to its target: the first observation may come from a quiet
+/// night and be far too low.
+const SEARCH_RATE: f64 = 0.03;
+/// Fraction of the target latency from which the search is over.
+const SEARCH_END: f64 = 0.7;
+/// Lower limit of the estimate as a fraction of the answered rate.
+const ANSWERED_FLOOR: f64 = 0.9;
+/// Time constant of the exponential averages, s: a few reports.
+const SMOOTHING_TIME: f64 = 4.0;
+/// Time in which the baseline latency approaches a higher average by half, s: classes and software change.
+const BASELINE_HALF_LIFE: f64 = 300.0;
+/// Limits the estimate to this factor above and below the stated or first observed value.
+const MAX_FACTOR: f64 = 10.0;
 
-/// What came of a zone's servers in a report.
+/// Load and results of a zone's servers in one report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
-    /// Weight of its servers, cold ones by the part that they have warmed.
+    /// Sum of the servers' weights; a cold server counts with the share it has warmed up.
     pub weight: f64,
-    /// Queries a second.
+    /// Queries per second.
     pub answered: f64,
+    /// Failed tries per second.
     pub failed: f64,
-    /// s, mean of the answered ones; 0 where none was.
+    /// Mean latency of the answered queries, s; 0 if none were answered.
     pub time: f64,
 }
 
+/// Moving averages of a zone.
 #[derive(Clone, Copy, Debug)]
-struct ZoneServers {
-    /// Queries a second for a unit of weight, faded.
+struct ZoneState {
+    /// Queries per second and unit of weight.
     load: f64,
-    failed: f64,
-    time: f64,
-    usual: f64,
-    at: f64,
+    failure_rate: f64,
+    latency: f64,
+    baseline_latency: f64,
+    updated_at: f64,
 }
 
+/// Estimates the capacity of a unit of server weight.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityEstimator {
     stated: Option<f64>,
-    /// s; answers should take no longer.
-    most_time: f64,
-    /// What it began with.
-    first: Option<f64>,
-    figure: Option<f64>,
-    zones: BTreeMap<usize, ZoneServers>,
-    at: f64,
-    /// Some zone was near what is allowed before.
-    found: bool,
+    /// Upper limit of the target latency, s.
+    max_latency: f64,
+    /// The stated or first observed value.
+    initial: Option<f64>,
+    estimate: Option<f64>,
+    zones: BTreeMap<usize, ZoneState>,
+    updated_at: f64,
+    /// Some zone was close to its target latency before.
+    search_done: bool,
 }
 
 impl CapacityEstimator {
-    /// `stated` is what the operators say that a unit of weight carries at most, queries a second; `due_time` the
-    /// tightest of all classes, s.
+    /// `stated` is the configured maximum in queries per second and unit of weight, `due_time` the shortest due
+    /// time of all classes, s.
     pub fn new(stated: Option<f64>, due_time: Option<f64>) -> Self {
-        let most_time = due_time.map_or(f64::INFINITY, |due_time| due_time * LATE);
-        CapacityEstimator { stated, most_time, first: stated, figure: stated, ..CapacityEstimator::default() }
+        let max_latency = due_time.map_or(f64::INFINITY, |due_time| due_time * TARGET_DUE_TIME_SHARE);
+        CapacityEstimator {
+            stated,
+            max_latency,
+            initial: stated,
+            estimate: stated,
+            ..CapacityEstimator::default()
+        }
     }
 
-    /// Queries a second for a unit of weight; none before anything was seen or stated.
+    /// Queries per second and unit of weight; `None` before the first observation if nothing is configured.
     pub fn estimate(&self) -> Option<f64> {
-        self.figure
+        self.estimate
     }
 
-    /// Takes in a report, by zone.
-    pub fn observe(&mut self, met: &BTreeMap<usize, ZoneObservation>, now: f64) {
-        let since = if self.at > 0.0 { (now - self.at).clamp(0.0, SPAN) } else { 0.0 };
-        self.at = now;
-        for (place, met) in met.iter().filter(|(_, met)| met.weight > 0.0) {
-            let load = met.answered / met.weight;
-            let failed = met.failed / (met.answered + met.failed).max(f64::MIN_POSITIVE);
-            let time = if met.time > 0.0 { Some(met.time) } else { None };
-            let Some(zone) = self.zones.get_mut(place) else {
-                let time = time.unwrap_or(0.0);
-                self.zones.insert(*place, ZoneServers { load, failed, time, usual: time, at: now });
+    /// Updates the estimate from a report by zone.
+    pub fn observe(&mut self, observations: &BTreeMap<usize, ZoneObservation>, now: f64) {
+        let elapsed =
+            if self.updated_at > 0.0 { (now - self.updated_at).clamp(0.0, SMOOTHING_TIME) } else { 0.0 };
+        self.updated_at = now;
+        for (index, observation) in observations.iter().filter(|(_, observation)| observation.weight > 0.0) {
+            let load = observation.answered / observation.weight;
+            let failure_rate =
+                observation.failed / (observation.answered + observation.failed).max(f64::MIN_POSITIVE);
+            let latency = if observation.time > 0.0 { Some(observation.time) } else { None };
+            let Some(zone) = self.zones.get_mut(index) else {
+                let latency = latency.unwrap_or(0.0);
+                let zone =
+                    ZoneState { load, failure_rate, latency, baseline_latency: latency, updated_at: now };
+                self.zones.insert(*index, zone);
                 continue;
             };
-            let new = 1.0 - (-(now - zone.at).max(0.0) / SPAN).exp();
-            zone.load += (load - zone.load) * new;
-            zone.failed += (failed - zone.failed) * new;
-            if let Some(time) = time {
-                zone.time += (time - zone.time) * new;
-                let back = 1.0 - 0.5_f64.powf((now - zone.at) / USUAL_HALF);
-                let usual = if zone.usual > 0.0 { zone.usual } else { zone.time };
-                zone.usual = (usual + (zone.time - usual) * back).min(zone.time);
+            let weight = 1.0 - (-(now - zone.updated_at).max(0.0) / SMOOTHING_TIME).exp();
+            zone.load += (load - zone.load) * weight;
+            zone.failure_rate += (failure_rate - zone.failure_rate) * weight;
+            if let Some(latency) = latency {
+                zone.latency += (latency - zone.latency) * weight;
+                let drift = 1.0 - 0.5_f64.powf((now - zone.updated_at) / BASELINE_HALF_LIFE);
+                let baseline = if zone.baseline_latency > 0.0 { zone.baseline_latency } else { zone.latency };
+                zone.baseline_latency = (baseline + (zone.latency - baseline) * drift).min(zone.latency);
             }
-            zone.at = now;
+            zone.updated_at = now;
         }
-        self.zones.retain(|place, _| met.contains_key(place));
-        let most = self.zones.values().map(|zone| zone.load).fold(0.0, f64::max);
-        let Some(figure) = self.figure else {
-            if most > 0.0 {
-                (self.first, self.figure) = (Some(most), Some(most));
+        self.zones.retain(|index, _| observations.contains_key(index));
+        let max_load = self.zones.values().map(|zone| zone.load).fold(0.0, f64::max);
+        let Some(estimate) = self.estimate else {
+            if max_load > 0.0 {
+                (self.initial, self.estimate) = (Some(max_load), Some(max_load));
             }
             return;
         };
-        let busy: Vec<&ZoneServers> = self.zones.values().filter(|zone| zone.load >= BUSY * figure).collect();
+        let busy: Vec<&ZoneState> =
+            self.zones.values().filter(|zone| zone.load >= BUSY_LOAD * estimate).collect();
         if busy.is_empty() {
-            // What was stated is gone back to where nobody tells otherwise.
-            self.figure = self.stated.map(|stated| figure + (stated - figure) * DOWN * since).or(self.figure);
+            // Without evidence, returns to the stated value.
+            self.estimate = self
+                .stated
+                .map(|stated| estimate + (stated - estimate) * DECREASE_RATE * elapsed)
+                .or(self.estimate);
             return;
         }
-        let way = |zone: &&ZoneServers| {
-            let allowed = (SLOW * zone.usual).min(self.most_time).max(f64::MIN_POSITIVE);
-            (1.0 - zone.time / allowed - zone.failed / FAILING).clamp(-1.0, 0.5)
+        let slack = |zone: &&ZoneState| {
+            let target =
+                (TARGET_LATENCY_FACTOR * zone.baseline_latency).min(self.max_latency).max(f64::MIN_POSITIVE);
+            (1.0 - zone.latency / target - zone.failure_rate / FAILURE_SCALE).clamp(-1.0, 0.5)
         };
-        let way = busy.iter().map(way).sum::<f64>() / busy.len() as f64;
-        let found = self.found || way < 1.0 - NEAR;
-        let answered = ANSWERED * busy.iter().map(|zone| zone.load).fold(0.0, f64::max);
-        let first = self.first.unwrap_or(figure);
-        let pace = match way {
-            way if way <= 0.0 => DOWN,
-            _ if found => 2.0 * UP,
-            _ => 2.0 * SEARCH,
+        let slack = busy.iter().map(slack).sum::<f64>() / busy.len() as f64;
+        let search_done = self.search_done || slack < 1.0 - SEARCH_END;
+        let min_estimate = ANSWERED_FLOOR * busy.iter().map(|zone| zone.load).fold(0.0, f64::max);
+        let initial = self.initial.unwrap_or(estimate);
+        let rate = match slack {
+            slack if slack <= 0.0 => DECREASE_RATE,
+            _ if search_done => 2.0 * INCREASE_RATE,
+            _ => 2.0 * SEARCH_RATE,
         };
-        let next = (figure * (pace * way * since).exp()).max(answered);
-        // The operators may have reasons that times don't show.
-        let most = self.stated.unwrap_or(first * RANGE);
-        self.figure = Some(next.clamp(first / RANGE, most));
-        self.found = found;
+        let next = (estimate * (rate * slack * elapsed).exp()).max(min_estimate);
+        // A stated value is never exceeded: it may have reasons that latency doesn't show.
+        let max_estimate = self.stated.unwrap_or(initial * MAX_FACTOR);
+        self.estimate = Some(next.clamp(initial / MAX_FACTOR, max_estimate));
+        self.search_done = search_done;
     }
 }
--- a/cost/src/lib.rs
+++ b/cost/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plans the cheapest flows between zones that ask no server for more than it can carry.
+//! Cost-optimal planning of query flows between zones under capacity limits.
 //!
-//! No I/O, no clock, no chance. [`Model`] is what a plan is made for, [`plan()`] makes it with a certificate of
-//! how good it is, [`Planner`] decides what is taken for demand and capacity and when a plan goes out.
-//! `docs/notes/0004-cost.md` weighs the options.
+//! No I/O, no clock, no randomness. [`plan()`] solves a [`Model`] and returns the cheapest plan with a lower bound
+//! on its cost; [`Planner`] derives demand and capacity from reports and decides when a plan is issued.
+//! `docs/notes/0004-cost.md` discusses the design.
 
 mod capacity;
 mod model;
--- a/cost/src/model.rs
+++ b/cost/src/model.rs
@@ -1,4 +1,4 @@
-//! What a plan is made for: who asks for how much, who can carry how much, and what each way costs.
+//! The planning model: demand by zone and class, server capacity, and the costs of links and servers.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -8,70 +8,70 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
-    /// Work of a query, in any unit that capacities share, as seconds of a core.
+    /// Work per query, in the same unit as capacities, such as core seconds.
     #[schemars(range(min = 0.000001, max = 1e6))]
     pub work: f64,
-    /// What an answer is worth.
+    /// Benefit of an answer.
     #[schemars(range(min = 0.0, max = 1e9))]
     pub benefit: f64,
-    /// s one way; it may go no farther. NoPlan one, anywhere.
+    /// Maximum one-way latency to a server, s; unlimited if left out.
     #[serde(default)]
     pub reach: Option<f64>,
 }
 
-/// From one zone to another.
+/// The directed link from one zone to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// For each query that crosses it.
+    /// Price per query that crosses the link.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub price: f64,
-    /// s one way.
+    /// One-way latency, s.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub time: f64,
-    /// Nothing may cross it.
+    /// No query may cross the link.
     #[serde(default)]
     pub closed: bool,
 }
 
-/// Servers of one zone and price: they are all alike to a plan.
+/// Servers of one zone with the same price, which are interchangeable to a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     pub zone: usize,
-    /// For a unit of work.
+    /// Price per unit of work.
     #[schemars(range(min = 0.0, max = 1e9))]
     pub price: f64,
-    /// Units of work a second that its servers can carry together.
+    /// Total capacity of its servers in units of work per second.
     #[schemars(range(min = 0.0, max = 1e12))]
     pub capacity: f64,
-    /// Classes that its servers do not take, by place.
+    /// Indices of the classes that its servers don't serve.
     #[serde(default)]
     pub refuses: Vec<usize>,
 }
 
-/// Everything that a plan goes by.
+/// The input of a plan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Names; a zone's number is its place.
+    /// Names of the zones; other fields refer to a zone by its index.
     pub zones: Vec<String>,
     pub classes: Vec<Class>,
     pub pools: Vec<Pool>,
-    /// From a zone (first) to a zone; zones cost nothing to themselves where nothing is said.
+    /// Links by source zone, then destination zone. All links are free if left out.
     #[serde(default)]
     pub links: Vec<Vec<Link>>,
-    /// Queries a second, by zone and class.
+    /// Queries per second, by zone and class.
     pub demand: Vec<Vec<f64>>,
-    /// Part of each capacity that a plan leaves free.
+    /// Fraction of each pool's capacity that a plan leaves free.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 0.99))]
     pub headroom: f64,
 }
 
-/// Queries of a class from a zone.
+/// The queries of one class from one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Source {
     pub zone: usize,
@@ -79,29 +79,34 @@
 }
 
 impl Model {
-    /// Errors: what is wrong, and where, as a JSON pointer says it.
+    /// Fails with the first problem and the JSON pointer to it.
     pub fn validate(&self) -> Result<(), String> {
         let (zones, classes) = (self.zones.len(), self.classes.len());
-        let amount = |at: String, found: f64| {
-            let fits = found.is_finite() && found >= 0.0;
-            fits.then_some(()).ok_or(format!("{at}: {found} is no amount of 0 or more"))
+        let amount = |pointer: String, value: f64| {
+            let valid = value.is_finite() && value >= 0.0;
+            valid.then_some(()).ok_or(format!("{pointer}: {value} is not a finite number of 0 or more"))
         };
         if zones == 0 || classes == 0 {
-            return Err("/zones, /classes: one or more of each".to_string());
+            return Err("/zones, /classes: at least one of each is required".to_string());
         }
         for (n, class) in self.classes.iter().enumerate() {
             if !(class.work > 0.0 && class.work.is_finite()) {
-                return Err(format!("/classes/{n}/work: {} is no work above 0", class.work));
+                return Err(format!("/classes/{n}/work: {} is not a finite number above 0", class.work));
             }
             amount(format!("/classes/{n}/benefit"), class.benefit)?;
             amount(format!("/classes/{n}/reach"), class.reach.unwrap_or(0.0))?;
         }
         for (n, pool) in self.pools.iter().enumerate() {
             if pool.zone >= zones {
-                return Err(format!("/pools/{n}/zone: {} of {zones} zones", pool.zone));
+                return Err(format!(
+                    "/pools/{n}/zone: index {} is out of range, there are {zones} zones",
+                    pool.zone
+                ));
             }
             if let Some(class) = pool.refuses.iter().find(|class| **class >= classes) {
-                return Err(format!("/pools/{n}/refuses: {class} of {classes} classes"));
+                return Err(format!(
+                    "/pools/{n}/refuses: index {class} is out of range, there are {classes} classes"
+                ));
             }
             amount(format!("/pools/{n}/price"), pool.price)?;
             amount(format!("/pools/{n}/capacity"), pool.capacity)?;
@@ -109,7 +114,7 @@
         if !self.links.is_empty()
             && (self.links.len() != zones || self.links.iter().any(|l| l.len() != zones))
         {
-            return Err(format!("/links: {zones} rows of {zones}, or none"));
+            return Err(format!("/links: expected {zones} rows of {zones} links, or none"));
         }
         for (from, row) in self.links.iter().enumerate() {
             for (to, link) in row.iter().enumerate() {
@@ -118,7 +123,7 @@
             }
         }
         if self.demand.len() != zones || self.demand.iter().any(|row| row.len() != classes) {
-            return Err(format!("/demand: {zones} rows of {classes} classes"));
+            return Err(format!("/demand: expected {zones} rows of {classes} classes"));
         }
         for (zone, row) in self.demand.iter().enumerate() {
             for (class, demand) in row.iter().enumerate() {
@@ -126,39 +131,42 @@
             }
         }
         let headroom = self.headroom;
-        ((0.0..1.0).contains(&headroom)).then_some(()).ok_or(format!("/headroom: {headroom} is no part"))
+        ((0.0..1.0).contains(&headroom))
+            .then_some(())
+            .ok_or(format!("/headroom: {headroom} is not in the range 0 to 1, 1 excluded"))
     }
 
+    /// The link between two zones; free and open if the model has no links.
     pub fn link(&self, from: usize, to: usize) -> Link {
         self.links.get(from).and_then(|row| row.get(to)).copied().unwrap_or_default()
     }
 
-    /// What a unit of a source's work costs in a pool; none where it may not go there.
+    /// Cost of a unit of a source's work in a pool, including the link. `None` if the pool may not serve it.
     pub fn unit_cost(&self, source: Source, pool: usize) -> Option<f64> {
-        let (to, class) = (&self.pools[pool], &self.classes[source.class]);
-        let link = self.link(source.zone, to.zone);
-        let near = class.reach.is_none_or(|reach| link.time <= reach);
-        let open = near && !link.closed && !to.refuses.contains(&source.class);
-        open.then(|| to.price + link.price / class.work)
+        let (destination, class) = (&self.pools[pool], &self.classes[source.class]);
+        let link = self.link(source.zone, destination.zone);
+        let in_reach = class.reach.is_none_or(|reach| link.time <= reach);
+        let allowed = in_reach && !link.closed && !destination.refuses.contains(&source.class);
+        allowed.then(|| destination.price + link.price / class.work)
     }
 
-    /// Units of work a second that a plan may ask of a pool.
+    /// A pool's capacity without the headroom, in units of work per second.
     pub fn usable_capacity(&self, pool: usize) -> f64 {
         self.pools[pool].capacity * (1.0 - self.headroom)
     }
 
-    /// Sources that ask for anything, with their work a second.
+    /// Sources with any demand, and their work per second.
     pub fn sources(&self) -> Vec<(Source, f64)> {
         let mut sources = Vec::new();
         for (zone, row) in self.demand.iter().enumerate() {
-            for (class, queries) in row.iter().enumerate().filter(|(_, queries)| **queries > 0.0) {
-                sources.push((Source { zone, class }, queries * self.classes[class].work));
+            for (class, rate) in row.iter().enumerate().filter(|(_, rate)| **rate > 0.0) {
+                sources.push((Source { zone, class }, rate * self.classes[class].work));
             }
         }
         sources
     }
 
-    /// Benefit of a unit of a class's work.
+    /// Benefit per unit of a class's work.
     pub fn benefit_per_work(&self, class: usize) -> f64 {
         self.classes[class].benefit / self.classes[class].work
     }
