--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -105,13 +105,14 @@
         let mut trusted_resolvers = PrefixTrie::default();
         let (mut default_askers, mut asker_zones) = (vec![None; settings.zones.len()], Vec::new());
         for (index, asker) in settings.askers.iter().enumerate() {
-            let zone = settings.zone(&asker.zone).unwrap_or(0);
+            let zone = settings.zone_index(&asker.zone).unwrap_or(0);
             asker_zones.push(zone);
             if asker.prefixes.is_empty() {
                 default_askers[usize::from(zone)] = Some(index as u16);
             }
         }
-        for (host, bits) in settings.dns.trusted_resolvers.iter().filter_map(|t| checks::prefix(t).ok()) {
+        for (host, bits) in settings.dns.trusted_resolvers.iter().filter_map(|t| checks::parse_prefix(t).ok())
+        {
             trusted_resolvers.insert(host, bits, 0);
         }
         let limits = &settings.dns.limits;
--- a/pilot/src/control.rs
+++ b/pilot/src/control.rs
@@ -131,9 +131,10 @@
     let mut core = pilot.core.borrow_mut();
     let price = price.parse::<f64>().ok().filter(|price| price.is_finite() && *price >= 0.0);
     let price = price.ok_or("a price must be a number of 0 or more")?;
-    let index = core.settings.zone(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
+    let index =
+        core.settings.zone_index(zone).ok_or_else(|| format!("{zone:?} is not a zone of the settings"))?;
     let planning = core.planning.as_mut().ok_or("the settings have no /costs")?;
-    planning.planner.reprice(usize::from(index), price);
+    planning.planner.set_price(usize::from(index), price);
     tracing::warn!(zone, price, "zone price changed by command");
     Ok(json!({"zone": zone, "price": price}))
 }
@@ -159,12 +160,12 @@
     let until = now + seconds;
     match command {
         GuardCommand::Override { check, by, .. } => {
-            guard.overrides.push(Override { check: *check, by: by.clone(), until });
+            guard.overrides.push(Override { check: *check, author: by.clone(), expires_at: until });
         }
         GuardCommand::Pin { server, least, most, .. } => {
             let server = Address { host: server.ip().octets(), port: server.port() };
             guard.pins.retain(|pin| pin.server != server);
-            guard.pins.push(Pin { server, least: *least, most: *most, until });
+            guard.pins.push(Pin { server, min_share: *least, max_share: *most, expires_at: until });
         }
         GuardCommand::Explain => {}
     }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -172,7 +172,7 @@
                 r,
                 "plan_carries",
                 "Queries per second that a unit of weight carries",
-                decided.orders.capacity_per_weight,
+                decided.routing.capacity_per_weight,
             );
         }
     }
--- a/settings/src/shape.rs
+++ b/settings/src/shape.rs
@@ -1,6 +1,6 @@
 //! What settings look like. The comments here are the schema's descriptions.
 
-use oatlever_guard::{Figures, Mode};
+use oatlever_guard::{GuardConfig, Mode};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -50,15 +50,16 @@
     pub prices: BTreeMap<String, f64>,
     /// Ways between zones; a way that is not named costs nothing and takes no time.
     #[serde(default)]
-    pub links: Vec<Way>,
+    pub links: Vec<ZoneLink>,
     #[serde(default)]
-    pub figures: oatlever_cost::Figures,
+    pub figures: oatlever_cost::PlannerConfig,
 }
 
 /// The way between two zones, there and back alike.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Way {
+#[schemars(rename = "Way")]
+pub struct ZoneLink {
     /// Two zones.
     #[schemars(length(min = 2, max = 2))]
     pub between: Vec<String>,
@@ -81,7 +82,7 @@
 pub struct Guard {
     /// `report` says what it finds, `enforce` lays another table.
     pub mode: Mode,
-    pub figures: Figures,
+    pub figures: GuardConfig,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
