--- a/pilot/tests/harness/mod.rs
+++ b/pilot/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 // Each test file uses only a part of the harness.
 #![allow(dead_code)]
 
-use oatlever_standins::platform::{server, Peer};
+use oatlever_standins::platform::{server_entry, Peer};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-        "known": {"version": 1, "full": true, "servers": [server("s-1", "up"), server("s-old", "up")]},
+        "known": {"version": 1, "full": true, "servers": [server_entry("s-1", "up"), server_entry("s-old", "up")]},
         "settings": {
             "family-info": {"egress-per-s": 8600.0, "head": 4.0, "level-kind": "share", "partitions-n": 0,
                 "data-plane-size": 9, "choice": "weighted", "period-ms": 1000.0, "queue-cap": 8600.0,
@@ -136,8 +136,8 @@
     /// Opens a connection and waits for an answer on it, which shows that the pilot has accepted it.
     pub fn dial_accepted(&self) -> Peer {
         let mut peer = self.dial();
-        peer.say(json!({"msg": "hb"})).unwrap();
-        assert_eq!(peer.hear().unwrap().unwrap()["msg"], "hb_ok");
+        peer.send_message(json!({"msg": "hb"})).unwrap();
+        assert_eq!(peer.receive().unwrap().unwrap()["msg"], "hb_ok");
         peer
     }
 
@@ -160,8 +160,8 @@
     /// Joins as a proxy and waits until its table lists a server.
     pub fn join_proxy(&self, number: u16, server: &str) -> Peer {
         let mut peer = self.dial();
-        peer.say(attach(number)).unwrap();
-        assert!(peer.holds(TIMEOUT, |table| table.contains_key(server)), "{:?}", peer.table);
+        peer.send_message(attach(number)).unwrap();
+        assert!(peer.wait_for_table(TIMEOUT, |table| table.contains_key(server)), "{:?}", peer.table);
         peer
     }
 
--- a/pilot/tests/platform.rs
+++ b/pilot/tests/platform.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{configuration, start_error, Pilot, TIMEOUT};
-use oatlever_standins::platform::{Discovery, Peer, Spoilt};
+use oatlever_standins::platform::{Discovery, Peer, ResponseFault};
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::Command;
@@ -12,20 +12,20 @@
 #[test]
 fn a_proxy_follows_the_list_through_the_pilot() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    discovery.say("s-2", "up");
-    let mut pilot = Pilot::start("follow", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    discovery.set_state("s-2", "up");
+    let mut pilot = Pilot::start("follow", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-2");
     // A server of the known list that discovery does not list is dropped.
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-old")), "{:?}", peer.table);
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-old")), "{:?}", peer.table);
     let mark = *peer.marks.last().expect("a mark");
-    peer.say(json!({"msg": "done", "proxy": 3, "mark": mark, "took_ms": 3.5})).unwrap();
-    discovery.say("s-1", "draining");
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
+    peer.send_message(json!({"msg": "done", "proxy": 3, "mark": mark, "took_ms": 3.5})).unwrap();
+    discovery.set_state("s-1", "draining");
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
 
     // The proxy joins again before its old stream ends: the old one is closed, the new one served.
     let _again = pilot.join_proxy(3, "s-2");
-    while let Some(_late) = peer.hear().unwrap() {}
+    while let Some(_late) = peer.receive().unwrap() {}
     pilot.signal("-TERM");
     assert_eq!(pilot.child.wait().unwrap().code(), Some(0));
 }
@@ -43,16 +43,23 @@
 #[test]
 fn unusable_answers_leave_the_list_unchanged() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    discovery.say("s-2", "up");
-    let pilot = Pilot::start("faults", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    discovery.set_state("s-2", "up");
+    let pilot = Pilot::start("faults", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-2");
-    assert!(discovery.is_asked("index=", TIMEOUT));
-    let ways = [Spoilt::Cut, Spoilt::NoList, Spoilt::Older, Spoilt::HungUp, Spoilt::Silent, Spoilt::Cut];
-    assert!(discovery.spoil(&ways, TIMEOUT));
-    discovery.say("s-1", "draining");
+    assert!(discovery.wait_for_request("index=", TIMEOUT));
+    let ways = [
+        ResponseFault::Truncated,
+        ResponseFault::InvalidServers,
+        ResponseFault::StaleVersion,
+        ResponseFault::Closed,
+        ResponseFault::NoResponse,
+        ResponseFault::Truncated,
+    ];
+    assert!(discovery.inject_faults(&ways, TIMEOUT));
+    discovery.set_state("s-1", "draining");
     let mut lost = false;
-    assert!(peer.holds(TIMEOUT, |table| {
+    assert!(peer.wait_for_table(TIMEOUT, |table| {
         lost |= !table.contains_key("s-2");
         !table.contains_key("s-1")
     }));
@@ -63,14 +70,14 @@
 #[test]
 fn the_watch_stays_on_one_connection() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let pilot = Pilot::start("kept", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    let pilot = Pilot::start("kept", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
     for n in 0..6 {
-        discovery.say("s-2", if n % 2 == 0 { "up" } else { "draining" });
-        assert!(peer.holds(TIMEOUT, |table| table.contains_key("s-2") == (n % 2 == 0)));
+        discovery.set_state("s-2", if n % 2 == 0 { "up" } else { "draining" });
+        assert!(peer.wait_for_table(TIMEOUT, |table| table.contains_key("s-2") == (n % 2 == 0)));
     }
-    let (calls, connections) = discovery.calls();
+    let (calls, connections) = discovery.request_counts();
     assert!(calls >= 6 && connections == 1, "{calls} calls on {connections} connections");
 }
 
@@ -79,17 +86,17 @@
 #[test]
 fn an_unresponsive_stream_is_closed_and_others_stay() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let mut short = configuration(discovery.host, 64);
+    discovery.set_state("s-1", "up");
+    let mut short = configuration(discovery.address, 64);
     short["settings"]["family-info"]["period-ms"] = json!(50.0);
     let pilot = Pilot::start("quiet", &short);
     let mut silent = pilot.join_proxy(3, "s-1");
     let mut others = [pilot.join_proxy(4, "s-1"), pilot.join_proxy(5, "s-1")];
-    let closed = std::thread::spawn(move || while let Some(_late) = silent.hear().unwrap() {});
+    let closed = std::thread::spawn(move || while let Some(_late) = silent.receive().unwrap() {});
     while !closed.is_finished() {
         for peer in &mut others {
-            peer.say(json!({"msg": "hb"})).unwrap();
-            while peer.hear().unwrap().expect("an open stream")["msg"] != "hb_ok" {}
+            peer.send_message(json!({"msg": "hb"})).unwrap();
+            while peer.receive().unwrap().expect("an open stream")["msg"] != "hb_ok" {}
         }
     }
     closed.join().unwrap();
@@ -104,8 +111,8 @@
     const BATCH: usize = 40;
     const KIB: usize = 1024;
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-stays", "up");
-    let pilot = Pilot::start("level", &configuration(discovery.host, 64));
+    discovery.set_state("s-stays", "up");
+    let pilot = Pilot::start("level", &configuration(discovery.address, 64));
     let process = PathBuf::from(format!("/proc/{}", pilot.child.id()));
     let usage = || {
         let status = std::fs::read_to_string(process.join("status")).unwrap();
@@ -116,9 +123,9 @@
     let mut samples = Vec::new();
     for batch in 0..45 {
         for n in 0..BATCH {
-            discovery.say(&format!("s-{}", batch * BATCH + n), "up");
+            discovery.set_state(&format!("s-{}", batch * BATCH + n), "up");
             if batch > 0 {
-                discovery.say(&format!("s-{}", (batch - 1) * BATCH + n), "removed");
+                discovery.set_state(&format!("s-{}", (batch - 1) * BATCH + n), "removed");
             }
         }
         let mut peers: Vec<Peer> = (0..9).map(|proxy| pilot.join_proxy(proxy, "s-stays")).collect();
@@ -135,8 +142,8 @@
 #[test]
 fn invalid_messages_are_ignored_and_garbage_closes_a_stream() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let pilot = Pilot::start("spoilt", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    let pilot = Pilot::start("spoilt", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
     for invalid in [
         json!({"msg": "done", "proxy": 3, "mark": -1, "took_ms": 3.5}),
@@ -146,12 +153,12 @@
         json!({"msg": "attach", "proxy": 5, "zone": "a", "weight": 2.5, "fresh": true}),
         json!({"msg": "unheard of"}),
     ] {
-        peer.say(invalid).unwrap();
+        peer.send_message(invalid).unwrap();
     }
-    peer.say(json!({"msg": "hb"})).unwrap();
-    while peer.hear().unwrap().expect("an open stream")["msg"] != "hb_ok" {}
+    peer.send_message(json!({"msg": "hb"})).unwrap();
+    while peer.receive().unwrap().expect("an open stream")["msg"] != "hb_ok" {}
     peer.send(b"\xff\x00 and so on\n").unwrap();
-    while let Some(_late) = peer.hear().unwrap() {}
+    while let Some(_late) = peer.receive().unwrap() {}
     pilot.join_proxy(3, "s-1");
 }
 
@@ -159,23 +166,23 @@
 #[test]
 fn nothing_is_written_to_a_collector() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let pilot = Pilot::start("collectors", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    let pilot = Pilot::start("collectors", &configuration(discovery.address, 64));
     let collector = || {
         let mut peer = pilot.dial();
-        peer.say(json!({"msg": "telemetry", "zone": "a"})).unwrap();
+        peer.send_message(json!({"msg": "telemetry", "zone": "a"})).unwrap();
         // The answer to the heartbeat shows that the collector has joined. Heartbeats are the only messages answered.
-        peer.say(json!({"msg": "hb"})).unwrap();
-        assert_eq!(peer.hear().unwrap().unwrap()["msg"], "hb_ok");
+        peer.send_message(json!({"msg": "hb"})).unwrap();
+        assert_eq!(peer.receive().unwrap().unwrap()["msg"], "hb_ok");
         peer
     };
     let _proxy = pilot.join_proxy(3, "s-1");
     let mut oldest = collector();
     let mut invalid = collector();
     invalid.send(b"\xff\x00 and so on\n").unwrap();
-    assert_eq!(invalid.hear().unwrap(), None);
+    assert_eq!(invalid.receive().unwrap(), None);
     let _others = [collector(), collector()];
-    assert_eq!(oldest.hear().unwrap(), None);
+    assert_eq!(oldest.receive().unwrap(), None);
 }
 
 /// Unknown clients must not hold descriptors that proxies need. Far more of them than there are descriptors connect
@@ -183,8 +190,8 @@
 #[test]
 fn unknown_clients_are_closed_and_do_not_keep_proxies_out() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let pilot = Pilot::start("unknown-clients", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    let pilot = Pilot::start("unknown-clients", &configuration(discovery.address, 64));
     let kinds: [&[u8]; 7] = [
         b"",
         b"{\"msg\":\"att",
@@ -205,12 +212,12 @@
     while endless.send(&[b'x'; 4096]).is_ok() {}
     let mut proxy = pilot.join_proxy(3, "s-1");
     for mut client in unknown_clients {
-        while let Some(message) = client.hear().expect("the end of the connection") {
+        while let Some(message) = client.receive().expect("the end of the connection") {
             assert!(["hb_ok", "reject"].contains(&message["msg"].as_str().unwrap()), "{message}");
         }
     }
-    proxy.say(json!({"msg": "hb"})).unwrap();
-    while proxy.hear().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
+    proxy.send_message(json!({"msg": "hb"})).unwrap();
+    while proxy.receive().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
 }
 
 /// If the system's limit of descriptors is lower than the configured one, unknown clients must not hold the last
@@ -218,10 +225,10 @@
 #[test]
 fn exhausted_descriptors_are_reclaimed_from_unknown_clients() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
+    discovery.set_state("s-1", "up");
     let mut shell = Command::new("/bin/sh");
     shell.args(["-c", "ulimit -n 40; exec \"$0\" \"$@\"", env!("CARGO_BIN_EXE_oatlever")]);
-    let pilot = Pilot::start_with(&mut shell, "few", &configuration(discovery.host, 1024));
+    let pilot = Pilot::start_with(&mut shell, "few", &configuration(discovery.address, 1024));
     let _unknown_clients: Vec<Peer> = (0..100).map(|_| pilot.dial()).collect();
     pilot.join_proxy(3, "s-1");
 }
@@ -231,8 +238,8 @@
 #[test]
 fn incomplete_messages_are_limited_to_a_part_of_the_memory() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let mut small = configuration(discovery.host, 64);
+    discovery.set_state("s-1", "up");
+    let mut small = configuration(discovery.address, 64);
     small["limits"]["memory_mb"] = json!(1);
     let pilot = Pilot::start("endless", &small);
     let mut peers: Vec<Peer> = (0..9).map(|proxy| pilot.join_proxy(proxy, "s-1")).collect();
@@ -242,13 +249,13 @@
     for peer in &mut peers {
         // The connection may be closed before all is written.
         let _ = peer.send(&incomplete);
-        honest.say(json!({"msg": "hb"})).unwrap();
-        while honest.hear().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
+        honest.send_message(json!({"msg": "hb"})).unwrap();
+        while honest.receive().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
     }
     let mut answered = 0;
     for peer in &mut peers {
         let _ = peer.send(b"\"msg\":\"hb\"}\n");
-        while let Some(message) = peer.hear().unwrap() {
+        while let Some(message) = peer.receive().unwrap() {
             if message["msg"] == "hb_ok" {
                 answered += 1;
                 break;
@@ -262,8 +269,8 @@
 #[test]
 fn sigterm_does_not_wait_for_a_reload() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-1", "up");
-    let mut pilot = Pilot::start("end", &configuration(discovery.host, 64));
+    discovery.set_state("s-1", "up");
+    let mut pilot = Pilot::start("end", &configuration(discovery.address, 64));
     std::fs::write(&pilot.path, "{").unwrap();
     pilot.signal("-HUP");
     let signalled = std::time::Instant::now();
@@ -276,13 +283,13 @@
 #[test]
 fn the_environment_fills_in_what_the_configuration_leaves_out() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-2", "up");
-    let mut bare = configuration(discovery.host, 64);
+    discovery.set_state("s-2", "up");
+    let mut bare = configuration(discovery.address, 64);
     for field in ["name", "listen", "discovery"] {
         bare.as_object_mut().unwrap().remove(field);
     }
     let mut program = Command::new(env!("CARGO_BIN_EXE_oatlever"));
-    program.env("BALANCER_LISTEN", "127.0.0.1:0").env("BALANCER_DISCOVERY", discovery.host.to_string());
+    program.env("BALANCER_LISTEN", "127.0.0.1:0").env("BALANCER_DISCOVERY", discovery.address.to_string());
     Pilot::start_with(&mut program, "bare", &bare).join_proxy(3, "s-2");
     let text = start_error("none", &bare);
     assert!(text.contains("`listen` is missing, and BALANCER_LISTEN is not set"), "{text}");
@@ -291,36 +298,36 @@
 #[test]
 fn a_replaced_configuration_names_another_discovery() {
     let [first, second, third] = [(); 3].map(|()| Discovery::start().unwrap());
-    first.say("s-1", "up");
-    let pilot = Pilot::start("reload", &configuration(first.host, 64));
+    first.set_state("s-1", "up");
+    let pilot = Pilot::start("reload", &configuration(first.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
-    assert!(first.is_asked("index=", TIMEOUT));
+    assert!(first.wait_for_request("index=", TIMEOUT));
     // A file that can't be parsed is ignored.
     std::fs::write(&pilot.path, "{").unwrap();
     pilot.signal("-HUP");
-    second.say("s-1", "draining");
-    second.say("s-2", "up");
+    second.set_state("s-1", "draining");
+    second.set_state("s-2", "up");
     let fresh = pilot.path.with_extension("fresh");
-    std::fs::write(&fresh, configuration(second.host, 64).to_string()).unwrap();
+    std::fs::write(&fresh, configuration(second.address, 64).to_string()).unwrap();
     std::fs::rename(&fresh, &pilot.path).unwrap();
     pilot.signal("-HUP");
-    assert!(second.is_asked("index=", TIMEOUT));
+    assert!(second.wait_for_request("index=", TIMEOUT));
     assert!(
-        peer.holds(TIMEOUT, |table| table.contains_key("s-2") && !table.contains_key("s-1")),
+        peer.wait_for_table(TIMEOUT, |table| table.contains_key("s-2") && !table.contains_key("s-1")),
         "{:?}",
         peer.table
     );
 
     // Discovery moves twice in a row; the last address counts.
     for name in ["s-1", "s-2", "s-3"] {
-        third.say(name, if name == "s-1" { "draining" } else { "up" });
+        third.set_state(name, if name == "s-1" { "draining" } else { "up" });
     }
     for discovery in [&first, &third] {
-        std::fs::write(&fresh, configuration(discovery.host, 64).to_string()).unwrap();
+        std::fs::write(&fresh, configuration(discovery.address, 64).to_string()).unwrap();
         std::fs::rename(&fresh, &pilot.path).unwrap();
         pilot.signal("-HUP");
     }
-    assert!(peer.holds(TIMEOUT, |table| table.contains_key("s-3")), "{:?}", peer.table);
+    assert!(peer.wait_for_table(TIMEOUT, |table| table.contains_key("s-3")), "{:?}", peer.table);
 }
 
 /// A missing, invalid or contradictory field is reported with its path and value, and the pilot does not start.
@@ -367,8 +374,8 @@
 #[test]
 fn unknown_fields_are_ignored() {
     let discovery = Discovery::start().unwrap();
-    discovery.say("s-2", "up");
-    let mut later = configuration(discovery.host, 64);
+    discovery.set_state("s-2", "up");
+    let mut later = configuration(discovery.address, 64);
     for place in
         ["", "/settings", "/settings/family-info", "/settings/lanes/0", "/limits", "/known/servers/0"]
     {
--- a/pilot/tests/races.rs
+++ b/pilot/tests/races.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{attach, configuration, write_configuration, Pilot, TIMEOUT};
-use oatlever_standins::platform::{server, Discovery, Peer, Spoilt, EARLIEST_KILL};
+use oatlever_standins::platform::{server_entry, Discovery, Peer, ResponseFault, MIN_TERMINATION_GRACE};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -15,33 +15,33 @@
 fn start_discovery(servers: &[(&str, &str)]) -> Discovery {
     let discovery = Discovery::start().unwrap();
     for (id, state) in servers {
-        discovery.say(id, state);
+        discovery.set_state(id, state);
     }
     discovery
 }
 
 fn start_pilot(name: &str, sockets: u32) -> (Discovery, Pilot) {
     let discovery = start_discovery(&[("s-1", "up")]);
-    let pilot = Pilot::start(name, &configuration(discovery.host, sockets));
+    let pilot = Pilot::start(name, &configuration(discovery.address, sockets));
     (discovery, pilot)
 }
 
 /// The types of all messages on a connection until it ends.
 fn messages_until_end(peer: &mut Peer) -> Vec<String> {
     let mut messages = Vec::new();
-    while let Some(message) = peer.hear().expect("the end of the connection") {
+    while let Some(message) = peer.receive().expect("the end of the connection") {
         messages.push(message["msg"].as_str().unwrap().to_string());
     }
     messages
 }
 
 fn assert_heartbeat_answered(peer: &mut Peer) {
-    peer.say(json!({"msg": "hb"})).unwrap();
-    while peer.hear().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
+    peer.send_message(json!({"msg": "hb"})).unwrap();
+    while peer.receive().unwrap().expect("an open connection")["msg"] != "hb_ok" {}
 }
 
 fn wait_for_server(peer: &mut Peer, id: &str) {
-    assert!(peer.holds(TIMEOUT, |table| table.contains_key(id)), "{:?}", peer.table);
+    assert!(peer.wait_for_table(TIMEOUT, |table| table.contains_key(id)), "{:?}", peer.table);
 }
 
 /// Replaces the configuration atomically, as operators do.
@@ -59,7 +59,7 @@
     let (_discovery, pilot) = start_pilot("half", 64);
     pilot.pause();
     let mut peer = pilot.dial();
-    peer.say(json!({"msg": "hb"})).unwrap();
+    peer.send_message(json!({"msg": "hb"})).unwrap();
     peer.half_close().unwrap();
     pilot.resume();
     assert_eq!(messages_until_end(&mut peer), ["hb_ok"]);
@@ -85,7 +85,7 @@
     for byte in b"{\"msg\":\"hb\"}\n" {
         peer.send(&[*byte]).unwrap();
     }
-    assert_eq!(peer.hear().unwrap().unwrap()["msg"], "hb_ok");
+    assert_eq!(peer.receive().unwrap().unwrap()["msg"], "hb_ok");
 }
 
 /// A join message that arrived in time counts even if the pilot was delayed and reads it in the turn in which the
@@ -97,8 +97,8 @@
     pilot.pause();
     // Longer than the join timeout; the sleep waits for nothing else.
     std::thread::sleep(Duration::from_millis(1700));
-    proxy.say(attach(3)).unwrap();
-    unjoined.say(json!({"msg": "hb"})).unwrap();
+    proxy.send_message(attach(3)).unwrap();
+    unjoined.send_message(json!({"msg": "hb"})).unwrap();
     pilot.resume();
     wait_for_server(&mut proxy, "s-1");
     assert_eq!(messages_until_end(&mut unjoined), ["hb_ok", "reject"]);
@@ -128,9 +128,9 @@
     let (discovery, pilot) = start_pilot("older", 64);
     let mut older = pilot.dial_accepted();
     let mut newer = pilot.join_proxy(3, "s-1");
-    older.say(attach(3)).unwrap();
+    older.send_message(attach(3)).unwrap();
     assert_eq!(messages_until_end(&mut older), ["reject"]);
-    discovery.say("s-2", "up");
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut newer, "s-2");
 }
 
@@ -145,16 +145,16 @@
         if n % 2 == 0 {
             drop(old);
             peer = pilot.dial();
-            peer.say(attach(3)).unwrap();
+            peer.send_message(attach(3)).unwrap();
         } else {
             peer = pilot.dial();
-            peer.say(attach(3)).unwrap();
+            peer.send_message(attach(3)).unwrap();
             drop(old);
         }
         pilot.resume();
         wait_for_server(&mut peer, "s-1");
     }
-    discovery.say("s-2", "up");
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut peer, "s-2");
 }
 
@@ -165,12 +165,12 @@
     let mut other = pilot.join_proxy(4, "s-1");
     pilot.pause();
     let mut brief = pilot.dial();
-    brief.say(attach(3)).unwrap();
+    brief.send_message(attach(3)).unwrap();
     drop(brief);
     pilot.resume();
     assert_heartbeat_answered(&mut other);
     pilot.join_proxy(3, "s-1");
-    discovery.say("s-2", "up");
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut other, "s-2");
 }
 
@@ -181,15 +181,15 @@
     let (_discovery, pilot) = start_pilot("middle", 64);
     for _ in 0..3 {
         let mut peer = pilot.dial_accepted();
-        peer.say(attach(3)).unwrap();
+        peer.send_message(attach(3)).unwrap();
         peer.send(b"{\"msg\":\"client_stats\",\"proxy\":3,").unwrap();
         // Some output is unread, so dropping the connection resets it.
         drop(peer);
         let mut again = pilot.dial();
         let mut holding_table = attach(3);
         holding_table["fresh"] = json!(false);
-        again.say(holding_table).unwrap();
-        let first = again.hear().unwrap().expect("a table");
+        again.send_message(holding_table).unwrap();
+        let first = again.receive().unwrap().expect("a table");
         assert!(first["full"] == true && first["endpoints"][0][0] == "s-1", "{first}");
     }
 }
@@ -203,9 +203,9 @@
     let old = *peer.marks.last().unwrap();
     let mut again = pilot.join_proxy(3, "s-1");
     let done = |mark: u64| json!({"msg": "done", "proxy": 3, "mark": mark, "took_ms": 3.5});
-    again.say(done(old)).unwrap();
-    again.say(done(60_000)).unwrap();
-    again.say(done(*again.marks.last().unwrap())).unwrap();
+    again.send_message(done(old)).unwrap();
+    again.send_message(done(60_000)).unwrap();
+    again.send_message(done(*again.marks.last().unwrap())).unwrap();
     assert_heartbeat_answered(&mut again);
     pilot.wait_for_counts("spoilt: 2,");
 
@@ -214,16 +214,16 @@
     let _unread = pilot.dial();
     pilot.signal("-KILL");
     assert_eq!(pilot.wait_for_exit(), None);
-    let mut same = configuration(discovery.host, 64);
+    let mut same = configuration(discovery.address, 64);
     same["listen"] = json!(pilot.host.to_string());
     let next = Pilot::start("marks-next", &same);
     let mut holding_table = attach(3);
     holding_table["fresh"] = json!(false);
     let mut returning = next.dial();
-    returning.say(holding_table).unwrap();
-    returning.say(done(old)).unwrap();
+    returning.send_message(holding_table).unwrap();
+    returning.send_message(done(old)).unwrap();
     wait_for_server(&mut returning, "s-1");
-    discovery.say("s-2", "up");
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut returning, "s-2");
 }
 
@@ -237,7 +237,7 @@
     pilot.pause();
     let proxies = (0..9).map(|proxy| {
         let mut peer = pilot.dial();
-        peer.say(attach(proxy)).unwrap();
+        peer.send_message(attach(proxy)).unwrap();
         peer
     });
     let mut proxies: Vec<Peer> = proxies.collect();
@@ -279,7 +279,7 @@
         pilot.pause();
         let mut fleet: Vec<Peer> = (0..9).map(|_| pilot.dial()).collect();
         for (proxy, peer) in fleet.iter_mut().enumerate() {
-            peer.say(attach(proxy as u16)).unwrap();
+            peer.send_message(attach(proxy as u16)).unwrap();
         }
         pilot.resume();
         for peer in &mut fleet {
@@ -302,24 +302,24 @@
     large["settings"]["rules"]["warm-within-ms"] = json!(600_000.0);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let cold = |n: u16| {
-        let mut entry = server(&format!("s-{n}"), "up");
+        let mut entry = server_entry(&format!("s-{n}"), "up");
         entry["started_ms"] = json!(now.as_secs_f64() * 1e3);
         entry
     };
-    let servers = (0..60).map(cold).chain(others.iter().map(|id| server(id, "up")));
+    let servers = (0..60).map(cold).chain(others.iter().map(|id| server_entry(id, "up")));
     large["known"]["servers"] = json!(servers.collect::<Vec<Value>>());
     let pilot = Pilot::start(name, &large);
     pilot.pause();
     let mut fleet: Vec<Peer> = (0..FLEET).map(|_| pilot.dial()).collect();
     for (proxy, peer) in fleet.iter_mut().enumerate() {
-        peer.say(attach(proxy as u16)).unwrap();
+        peer.send_message(attach(proxy as u16)).unwrap();
     }
     let mut client = pilot.dial();
-    client.say(json!({"msg": "hb"})).unwrap();
+    client.send_message(json!({"msg": "hb"})).unwrap();
     pilot.resume();
-    assert_eq!(client.hear().unwrap().unwrap()["msg"], "hb_ok");
+    assert_eq!(client.receive().unwrap().unwrap()["msg"], "hb_ok");
     for peer in &mut fleet {
-        assert!(peer.holds(TIMEOUT, |table| !table.is_empty()));
+        assert!(peer.wait_for_table(TIMEOUT, |table| !table.is_empty()));
     }
 }
 
@@ -347,7 +347,7 @@
     let (_discovery, pilot) = start_pilot("full", 41);
     let mut fleet: Vec<Peer> = (0..9).map(|proxy| pilot.join_proxy(proxy, "s-1")).collect();
     let mut again = pilot.join_proxy(3, "s-1");
-    while let Some(_late) = fleet[3].hear().unwrap() {}
+    while let Some(_late) = fleet[3].receive().unwrap() {}
     assert_heartbeat_answered(&mut again);
     for proxy in [0, 8] {
         assert_heartbeat_answered(&mut fleet[proxy]);
@@ -363,11 +363,11 @@
     pilot.pause();
     for _ in 0..20 {
         let mut brief = pilot.dial();
-        brief.say(json!({"msg": "hb"})).unwrap();
+        brief.send_message(json!({"msg": "hb"})).unwrap();
     }
     pilot.resume();
     assert_heartbeat_answered(&mut proxy);
-    unjoined.say(attach(4)).unwrap();
+    unjoined.send_message(attach(4)).unwrap();
     wait_for_server(&mut unjoined, "s-1");
 }
 
@@ -378,16 +378,17 @@
 #[test]
 fn a_whole_list_with_an_invalid_entry_still_removes_servers() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
-    let mut invalid = server("s-2", "up");
+    let mut invalid = server_entry("s-2", "up");
     invalid["weight"] = json!("heavy");
-    discovery.put("s-2", Some(invalid));
-    let mut known = configuration(discovery.host, 64);
-    known["known"]["servers"] = json!([server("s-1", "up"), server("s-2", "up"), server("s-old", "up")]);
+    discovery.set_entry("s-2", Some(invalid));
+    let mut known = configuration(discovery.address, 64);
+    known["known"]["servers"] =
+        json!([server_entry("s-1", "up"), server_entry("s-2", "up"), server_entry("s-old", "up")]);
     let pilot = Pilot::start("invalid", &known);
     let mut peer = pilot.join_proxy(3, "s-1");
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-old")), "{:?}", peer.table);
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-old")), "{:?}", peer.table);
     // The list is followed although the entry stays invalid: later changes arrive, and s-2 keeps its known state.
-    discovery.say("s-3", "up");
+    discovery.set_state("s-3", "up");
     wait_for_server(&mut peer, "s-3");
     assert!(peer.table.contains_key("s-2"), "{:?}", peer.table);
 }
@@ -396,11 +397,11 @@
 #[test]
 fn a_change_with_an_invalid_entry_is_requested_again() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
-    let pilot = Pilot::start("change", &configuration(discovery.host, 64));
+    let pilot = Pilot::start("change", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-2");
-    assert!(discovery.is_asked("index=", TIMEOUT));
-    assert!(discovery.spoil_next(Spoilt::Odd, "s-2", "draining", TIMEOUT));
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-2")), "{:?}", peer.table);
+    assert!(discovery.wait_for_request("index=", TIMEOUT));
+    assert!(discovery.set_state_with_fault(ResponseFault::UnknownState, "s-2", "draining", TIMEOUT));
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-2")), "{:?}", peer.table);
 }
 
 /// A watch that stalls within the head or body of its response times out and is requested again. A whole list in
@@ -408,13 +409,16 @@
 #[test]
 fn a_watch_that_stalls_within_a_response_is_requested_again() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
-    let pilot = Pilot::start("silent-watch", &configuration(discovery.host, 64));
+    let pilot = Pilot::start("silent-watch", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-2");
-    assert!(discovery.is_asked("index=", TIMEOUT));
-    discovery.put("s-1", None);
-    assert!(discovery.spoil(&[Spoilt::SilentInHead, Spoilt::SilentInBody, Spoilt::Whole], TIMEOUT));
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
-    discovery.say("s-3", "up");
+    assert!(discovery.wait_for_request("index=", TIMEOUT));
+    discovery.set_entry("s-1", None);
+    assert!(discovery.inject_faults(
+        &[ResponseFault::StalledHeaders, ResponseFault::StalledBody, ResponseFault::FullList],
+        TIMEOUT
+    ));
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
+    discovery.set_state("s-3", "up");
     wait_for_server(&mut peer, "s-3");
 }
 
@@ -422,11 +426,11 @@
 #[test]
 fn a_source_that_has_lost_its_versions_is_read_whole() {
     let discovery = start_discovery(&[("s-1", "up")]);
-    let pilot = Pilot::start("forgot", &configuration(discovery.host, 64));
+    let pilot = Pilot::start("forgot", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
-    assert!(discovery.is_asked("index=", TIMEOUT));
-    discovery.forget_versions();
-    discovery.say("s-2", "up");
+    assert!(discovery.wait_for_request("index=", TIMEOUT));
+    discovery.expire_versions();
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut peer, "s-2");
 }
 
@@ -435,20 +439,20 @@
 #[test]
 fn restarted_versions_are_accepted_and_reopen_no_server() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up"), ("s-3", "up")]);
-    let pilot = Pilot::start("anew", &configuration(discovery.host, 64));
+    let pilot = Pilot::start("anew", &configuration(discovery.address, 64));
     let mut peer = pilot.join_proxy(3, "s-3");
-    discovery.say("s-2", "draining");
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-2")), "{:?}", peer.table);
+    discovery.set_state("s-2", "draining");
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-2")), "{:?}", peer.table);
     // Looks like a list from before the drain: a lower version, with the server open.
-    discovery.count_anew(&[("s-1", "up"), ("s-2", "up")]);
+    discovery.reset_versions(&[("s-1", "up"), ("s-2", "up")]);
     let mut opened = false;
-    let accepted = peer.holds(TIMEOUT, |table| {
+    let accepted = peer.wait_for_table(TIMEOUT, |table| {
         opened |= table.contains_key("s-2");
         !table.contains_key("s-3")
     });
     assert!(accepted && !opened, "{:?}", peer.table);
     // The new versions count from here on, so this state of the server is newer than the drain.
-    discovery.say("s-2", "up");
+    discovery.set_state("s-2", "up");
     wait_for_server(&mut peer, "s-2");
 }
 
@@ -457,17 +461,17 @@
 #[test]
 fn an_older_list_does_not_undo_a_newer_known_one() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
-    let mut known = configuration(discovery.host, 64);
+    let mut known = configuration(discovery.address, 64);
     known["known"] = json!({"version": 4, "full": true,
-        "servers": [server("s-1", "up"), server("s-2", "draining")]});
+        "servers": [server_entry("s-1", "up"), server_entry("s-2", "draining")]});
     let pilot = Pilot::start("newer", &known);
     let mut peer = pilot.join_proxy(3, "s-1");
     let mut opened = false;
-    assert!(discovery.is_asked("/v1/endpoints", TIMEOUT));
-    discovery.say("s-3", "up");
-    discovery.say("s-2", "draining");
-    discovery.say("s-4", "up");
-    let caught_up = peer.holds(TIMEOUT, |table| {
+    assert!(discovery.wait_for_request("/v1/endpoints", TIMEOUT));
+    discovery.set_state("s-3", "up");
+    discovery.set_state("s-2", "draining");
+    discovery.set_state("s-4", "up");
+    let caught_up = peer.wait_for_table(TIMEOUT, |table| {
         opened |= table.contains_key("s-2");
         table.contains_key("s-4")
     });
@@ -481,18 +485,18 @@
     let pilot = Pilot::start("moved", &configuration(old.local_addr().unwrap(), 64));
     let (connection, _) = old.accept().unwrap();
     BufReader::new(&connection).read_line(&mut String::new()).unwrap();
-    let list = json!({"version": 9, "full": true, "servers": [server("s-wrong", "up")]}).to_string();
+    let list = json!({"version": 9, "full": true, "servers": [server_entry("s-wrong", "up")]}).to_string();
     let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
     (&connection).write_all(&response.as_bytes()[..response.len() / 2]).unwrap();
     let fresh = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
     let mut peer = pilot.join_proxy(3, "s-old");
-    replace_file(&pilot.path, &configuration(fresh.host, 64));
+    replace_file(&pilot.path, &configuration(fresh.address, 64));
     pilot.signal("-HUP");
     pilot.wait_for_log("configuration taken up");
     // The pilot may have closed the connection by now.
     let _ = (&connection).write_all(&response.as_bytes()[response.len() / 2..]);
     let mut used_old_list = false;
-    assert!(peer.holds(TIMEOUT, |table| {
+    assert!(peer.wait_for_table(TIMEOUT, |table| {
         used_old_list |= table.contains_key("s-wrong");
         table.contains_key("s-2")
     }));
@@ -512,7 +516,7 @@
 #[test]
 fn signals_during_the_start_are_handled() {
     let discovery = start_discovery(&[("s-1", "up")]);
-    let text = configuration(discovery.host, 64).to_string();
+    let text = configuration(discovery.address, 64).to_string();
     for (name, signals, ends) in [("hup", ["-HUP", "-HUP"], false), ("both", ["-HUP", "-TERM"], true)] {
         let path = make_fifo(name);
         let mut pilot = Pilot::spawn(&mut Command::new(env!("CARGO_BIN_EXE_oatlever")), path.clone());
@@ -522,7 +526,7 @@
             pilot.signal(signal);
         }
         // SIGHUP makes the pilot read the path again, which is then a regular file.
-        replace_file(&path, &configuration(discovery.host, 64));
+        replace_file(&path, &configuration(discovery.address, 64));
         fifo.write_all(text.as_bytes()).unwrap();
         drop(fifo);
         if ends {
@@ -539,17 +543,17 @@
 fn sigterm_is_handled_beside_any_other_event() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let answering = start_discovery(&[("s-1", "up")]);
-    for (name, discovery) in [("silent", silent.local_addr().unwrap()), ("answering", answering.host)] {
+    for (name, discovery) in [("silent", silent.local_addr().unwrap()), ("answering", answering.address)] {
         let mut pilot = Pilot::start(&format!("end-{name}"), &configuration(discovery, 64));
         let mut first = pilot.dial_accepted();
         pilot.pause();
         let mut fleet: Vec<Peer> = (0..9).map(|_| pilot.dial()).collect();
         for (proxy, peer) in fleet.iter_mut().enumerate() {
-            peer.say(attach(proxy as u16)).unwrap();
+            peer.send_message(attach(proxy as u16)).unwrap();
         }
-        first.say(json!({"msg": "hb"})).unwrap();
-        replace_file(&pilot.path, &configuration(answering.host, 64));
-        answering.say("s-1", "up");
+        first.send_message(json!({"msg": "hb"})).unwrap();
+        replace_file(&pilot.path, &configuration(answering.address, 64));
+        answering.set_state("s-1", "up");
         pilot.signal("-HUP");
         pilot.signal("-TERM");
         pilot.resume();
@@ -565,7 +569,7 @@
 fn pending_requests_are_answered_before_the_exit() {
     let discovery = start_discovery(&[("s-1", "up")]);
     for round in 0..5 {
-        let mut pilot = Pilot::start(&format!("owed-{round}"), &configuration(discovery.host, 64));
+        let mut pilot = Pilot::start(&format!("owed-{round}"), &configuration(discovery.address, 64));
         let mut proxy = pilot.join_proxy(3, "s-1");
         let mut others: Vec<Peer> = (0..20).map(|_| pilot.dial_accepted()).collect();
         // A client that does not read its answers must not delay the others.
@@ -579,13 +583,13 @@
         let released = Instant::now();
         pilot.resume();
         assert_eq!(pilot.wait_for_exit(), Some(0));
-        assert!(released.elapsed() < EARLIEST_KILL, "it took {:?}", released.elapsed());
+        assert!(released.elapsed() < MIN_TERMINATION_GRACE, "it took {:?}", released.elapsed());
         for (n, peer) in others.iter_mut().chain([&mut proxy]).enumerate() {
             for answer in 0..1 + n % 3 {
                 // The proxy gets table updates in between.
-                let mut message = peer.hear().unwrap();
+                let mut message = peer.receive().unwrap();
                 while message.as_ref().is_some_and(|message| message["msg"] == "assign") {
-                    message = peer.hear().unwrap();
+                    message = peer.receive().unwrap();
                 }
                 assert!(message.is_some_and(|message| message["msg"] == "hb_ok"), "{n}: no answer {answer}");
             }
@@ -597,18 +601,18 @@
 #[test]
 fn a_configuration_of_another_deployment_is_ignored() {
     let (ours, theirs) = (start_discovery(&[("s-1", "up")]), start_discovery(&[("s-theirs", "up")]));
-    let pilot = Pilot::start("customer", &configuration(ours.host, 64));
+    let pilot = Pilot::start("customer", &configuration(ours.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
-    let mut other = configuration(theirs.host, 64);
+    let mut other = configuration(theirs.address, 64);
     other["settings"]["zones"] = json!(["x", "y"]);
     replace_file(&pilot.path, &other);
     pilot.signal("-HUP");
     pilot.signal("-HUP");
     let error = pilot.wait_for_log("configuration left aside")["what"].to_string();
     assert!(error.contains("`settings` has other zones or classes"), "{error}");
-    ours.say("s-2", "up");
+    ours.set_state("s-2", "up");
     wait_for_server(&mut peer, "s-2");
-    assert_eq!(theirs.calls(), (0, 0));
+    assert_eq!(theirs.request_counts(), (0, 0));
 }
 
 /// The configuration names a new discovery, which at once reports that a server drains.
@@ -616,14 +620,14 @@
 fn a_drain_right_after_a_reload_is_followed() {
     let (old, fresh) =
         (start_discovery(&[("s-1", "up"), ("s-2", "up")]), start_discovery(&[("s-1", "up"), ("s-2", "up")]));
-    let pilot = Pilot::start("drain", &configuration(old.host, 64));
+    let pilot = Pilot::start("drain", &configuration(old.address, 64));
     let mut peer = pilot.join_proxy(3, "s-1");
-    replace_file(&pilot.path, &configuration(fresh.host, 64));
+    replace_file(&pilot.path, &configuration(fresh.address, 64));
     pilot.pause();
     pilot.signal("-HUP");
-    fresh.say("s-1", "draining");
+    fresh.set_state("s-1", "draining");
     pilot.resume();
-    assert!(peer.holds(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
+    assert!(peer.wait_for_table(TIMEOUT, |table| !table.contains_key("s-1")), "{:?}", peer.table);
 }
 
 // Health checks.
@@ -652,28 +656,28 @@
     let [first, second] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let started = |at: SocketAddr, ago: f64| {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-        let mut entry = server("s-2", "up");
+        let mut entry = server_entry("s-2", "up");
         entry["addr"] = json!(at.to_string());
         entry["started_ms"] = json!(now.as_secs_f64() * 1e3 - ago);
         entry
     };
     let discovery = start_discovery(&[("s-1", "up")]);
-    discovery.put("s-2", Some(started(first.local_addr().unwrap(), 100.0)));
-    let mut probing = configuration(discovery.host, 64);
+    discovery.set_entry("s-2", Some(started(first.local_addr().unwrap(), 100.0)));
+    let mut probing = configuration(discovery.address, 64);
     // Health checks don't time out within the test.
     probing["settings"]["limits"] = json!({"probes": true, "connect-timeout-ms": 60_000.0});
     let pilot = Pilot::start("replaced", &probing);
     let mut peer = pilot.join_proxy(3, "s-1");
     let (mut held, line) = accept_check(&first);
     assert!(line.starts_with("GET /health "), "{line}");
-    discovery.put("s-2", Some(started(second.local_addr().unwrap(), 0.0)));
+    discovery.set_entry("s-2", Some(started(second.local_addr().unwrap(), 0.0)));
     let (mut answered, _) = accept_check(&second);
     // The answers of the replaced process and of a server that is removed by then are harmless.
     let fine = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-    discovery.say("s-2", "removed");
+    discovery.set_state("s-2", "removed");
     held.write_all(fine).unwrap();
     answered.write_all(fine).unwrap();
-    discovery.say("s-3", "up");
+    discovery.set_state("s-3", "up");
     wait_for_server(&mut peer, "s-3");
     assert_heartbeat_answered(&mut peer);
 }
@@ -684,14 +688,14 @@
 #[test]
 fn a_pilot_without_servers_logs_the_cause_and_recovers() {
     let discovery = start_discovery(&[]);
-    let mut nothing = configuration(discovery.host, 64);
+    let mut nothing = configuration(discovery.address, 64);
     nothing["known"]["servers"] = json!([]);
     let pilot = Pilot::start("idle", &nothing);
     let mut peer = pilot.dial_accepted();
-    peer.say(attach(3)).unwrap();
+    peer.send_message(attach(3)).unwrap();
     assert!(pilot.wait_for_log("ready")["after_s"].as_f64().is_some_and(|after| after < 10.0));
     assert_eq!(pilot.wait_for_log("serves nobody")["cause"], "the list of servers is empty");
-    discovery.say("s-1", "up");
+    discovery.set_state("s-1", "up");
     wait_for_server(&mut peer, "s-1");
     pilot.wait_for_log("serves again");
 }
@@ -703,7 +707,7 @@
 #[test]
 fn a_pilot_without_proxies_logs_its_beliefs() {
     let discovery = start_discovery(&[("s-1", "up"), ("s-2", "up")]);
-    let mut known = configuration(discovery.host, 64);
+    let mut known = configuration(discovery.address, 64);
     known["known"]["servers"] = json!([]);
     let pilot = Pilot::start("beliefs", &known);
     let beliefs = pilot.wait_for_log("so far")["beliefs"].to_string();
@@ -726,7 +730,7 @@
 fn a_pilot_outlives_the_reader_of_its_log() {
     let discovery = start_discovery(&[("s-1", "up")]);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut fixed = configuration(discovery.host, 64);
+    let mut fixed = configuration(discovery.address, 64);
     fixed["listen"] = json!(socket.local_addr().unwrap().to_string());
     drop(socket);
     let path = write_configuration("unheard", &fixed);
@@ -744,7 +748,7 @@
         let id = child.id().to_string();
         assert!(Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
         let mut peer = Peer::dial(host, TIMEOUT).unwrap();
-        peer.say(attach(3)).unwrap();
+        peer.send_message(attach(3)).unwrap();
         wait_for_server(&mut peer, "s-1");
     }
     child.kill().unwrap();
--- a/standins/src/day.rs
+++ b/standins/src/day.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use oatlever_fetch::{get, Place};
-use oatlever_standins::platform::EARLIEST_KILL;
+use oatlever_standins::platform::MIN_TERMINATION_GRACE;
 use rustix::process::{kill_process, Pid, Signal};
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -319,7 +319,7 @@
     let asked = Instant::now();
     let status = loop {
         match child.try_wait() {
-            Ok(None) if asked.elapsed() < EARLIEST_KILL => Timer::after(LOOK_AGAIN_SOON).await,
+            Ok(None) if asked.elapsed() < MIN_TERMINATION_GRACE => Timer::after(LOOK_AGAIN_SOON).await,
             Ok(status) => break status,
             Err(_) => break None,
         };
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! A small side of the operators' platform, for tests on loopback: discovery, and whoever dials a pilot.
-//! Plain blocking sockets and a thread each.
+//! A fake of the operators' platform for tests on loopback: the discovery service, and clients that connect to a
+//! pilot. It uses blocking sockets and one thread per connection.
 
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -8,11 +8,11 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// From SIGTERM to the kill of a pilot: the page's earliest.
-pub const EARLIEST_KILL: Duration = Duration::from_millis(700);
+/// Shortest time between SIGTERM and SIGKILL that the platform's documentation allows for a pilot.
+pub const MIN_TERMINATION_GRACE: Duration = Duration::from_millis(700);
 
-/// A server as the list names it, of zone `a`.
-pub fn server(id: &str, state: &str) -> Value {
+/// Returns the list entry of a server in zone `a`.
+pub fn server_entry(id: &str, state: &str) -> Value {
     json!({"id": id, "addr": "127.0.0.1:9", "zone": "a", "kind": "m2", "cell": 3, "state": state,
            "weight": 1.0, "started_ms": 0})
 }
@@ -20,40 +20,42 @@
 #[derive(Default)]
 struct State {
     version: u64,
-    /// By id: the version that brought it, and what it says.
+    /// Entries by server id, with the version that last changed each.
     servers: BTreeMap<String, (u64, Value)>,
-    calls: Vec<String>,
+    requests: Vec<String>,
     connections: usize,
-    /// Versions are not known: what is newer than one is not told until all of the list was asked for.
-    forgot: bool,
-    /// What is wrong with the next answers.
-    spoilt: VecDeque<Spoilt>,
+    /// Incremental requests are refused with status 410 until a full list has been requested.
+    expired: bool,
+    /// Faults of the next responses, in order.
+    faults: VecDeque<ResponseFault>,
 }
 
-/// A way in which an answer of discovery is of no use.
+/// A fault in a response of the discovery service.
 #[derive(Clone, Copy, Debug)]
-pub enum Spoilt {
-    /// Half of it comes, then the end.
-    Cut,
-    NoList,
-    /// An empty list of a version that is long past.
-    Older,
-    /// None comes, and the connection stays.
-    Silent,
-    /// Half of its head comes, and the connection stays.
-    SilentInHead,
-    /// Half of its body comes, and the connection stays.
-    SilentInBody,
-    /// Entries have a state that does not exist.
-    Odd,
-    /// All of the list comes, whatever was asked for.
-    Whole,
-    HungUp,
+pub enum ResponseFault {
+    /// The connection closes after half of the body.
+    Truncated,
+    /// `servers` is not a list.
+    InvalidServers,
+    /// An empty list of an old version.
+    StaleVersion,
+    /// No response; the connection stays open.
+    NoResponse,
+    /// Half of the headers, then nothing; the connection stays open.
+    StalledHeaders,
+    /// An incomplete body, then nothing; the connection stays open.
+    StalledBody,
+    /// Entries whose `state` is not one of the defined values.
+    UnknownState,
+    /// The full list, also for an incremental request.
+    FullList,
+    /// The connection closes without a response.
+    Closed,
 }
 
-/// Discovery: answers whole lists at once and watches when there is news.
+/// The discovery service: full lists are returned at once, incremental requests wait for a change.
 pub struct Discovery {
-    pub host: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
@@ -61,106 +63,114 @@
     /// Listens on a free port until the process ends.
     pub fn start() -> io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let discovery = Discovery { host: listener.local_addr()?, shared: Arc::default() };
+        let discovery = Discovery { address: listener.local_addr()?, shared: Arc::default() };
         let shared = discovery.shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let shared = shared.clone();
-                // A pilot that hangs up ends its call.
-                std::thread::spawn(move || drop(answer(stream, &shared)));
+                // An error only means that the pilot closed the connection.
+                std::thread::spawn(move || drop(serve_connection(stream, &shared)));
             }
         });
         Ok(discovery)
     }
 
-    /// Has the list say so of a server from now on.
-    pub fn say(&self, id: &str, state: &str) {
-        let mut held = self.shared.0.lock().expect("no thread panics");
-        held.version += 1;
-        let version = held.version;
-        held.servers.insert(id.to_string(), (version, server(id, state)));
+    /// Lists a server with the given state.
+    pub fn set_state(&self, id: &str, state: &str) {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
+        shared.version += 1;
+        let version = shared.version;
+        shared.servers.insert(id.to_string(), (version, server_entry(id, state)));
         self.shared.1.notify_all();
     }
 
-    /// Puts an entry into the list as it is given; none takes it out without a word to those who watch.
-    pub fn put(&self, id: &str, entry: Option<Value>) {
-        let mut held = self.shared.0.lock().expect("no thread panics");
+    /// Inserts a list entry as it is. `None` removes the entry without a new version, so that incremental requests
+    /// don't see the removal.
+    pub fn set_entry(&self, id: &str, entry: Option<Value>) {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
         match entry {
             Some(entry) => {
-                held.version += 1;
-                let version = held.version;
-                held.servers.insert(id.to_string(), (version, entry));
+                shared.version += 1;
+                let version = shared.version;
+                shared.servers.insert(id.to_string(), (version, entry));
             }
-            None => drop(held.servers.remove(id)),
+            None => drop(shared.servers.remove(id)),
         }
         self.shared.1.notify_all();
     }
 
-    /// Forgets what was told under which version.
-    pub fn forget_versions(&self) {
-        let mut held = self.shared.0.lock().expect("no thread panics");
-        held.forgot = true;
+    /// Refuses incremental requests with status 410 until a full list has been requested.
+    pub fn expire_versions(&self) {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
+        shared.expired = true;
         self.shared.1.notify_all();
     }
 
-    /// Has versions start anew, with these servers.
-    pub fn count_anew(&self, servers: &[(&str, &str)]) {
-        let mut held = self.shared.0.lock().expect("no thread panics");
-        held.version = 1;
-        let entries = servers.iter().map(|(id, state)| (id.to_string(), (1, server(id, state))));
-        held.servers = entries.collect();
+    /// Restarts the version count at 1, with these servers and states.
+    pub fn reset_versions(&self, servers: &[(&str, &str)]) {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
+        shared.version = 1;
+        let entries = servers.iter().map(|(id, state)| (id.to_string(), (1, server_entry(id, state))));
+        shared.servers = entries.collect();
         self.shared.1.notify_all();
     }
 
-    /// Spoils the next answers, each in its way, and waits until they were asked for; false where they are
-    /// not `within` that.
-    pub fn spoil(&self, ways: &[Spoilt], within: Duration) -> bool {
-        let mut held = self.shared.0.lock().expect("no thread panics");
-        held.spoilt.extend(ways);
-        // Whoever waits for news gets the first of them.
-        held.version += 1;
-        self.is_spoilt(held, within)
+    /// Applies one fault to each of the next responses and waits until all are used. Returns false on a timeout.
+    pub fn inject_faults(&self, faults: &[ResponseFault], timeout: Duration) -> bool {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
+        shared.faults.extend(faults);
+        // A pending incremental request is answered at once, with the first fault.
+        shared.version += 1;
+        self.wait_for_faults(shared, timeout)
     }
 
-    /// Has the list say so of a server, and spoils the answer that tells it first.
-    pub fn spoil_next(&self, way: Spoilt, id: &str, state: &str, within: Duration) -> bool {
-        let mut held = self.shared.0.lock().expect("no thread panics");
-        held.version += 1;
-        let version = held.version;
-        held.servers.insert(id.to_string(), (version, server(id, state)));
-        held.spoilt.push_back(way);
-        self.is_spoilt(held, within)
+    /// Lists a server with the given state and applies a fault to the first response that contains it.
+    pub fn set_state_with_fault(
+        &self,
+        fault: ResponseFault,
+        id: &str,
+        state: &str,
+        timeout: Duration,
+    ) -> bool {
+        let mut shared = self.shared.0.lock().expect("no thread panics");
+        shared.version += 1;
+        let version = shared.version;
+        shared.servers.insert(id.to_string(), (version, server_entry(id, state)));
+        shared.faults.push_back(fault);
+        self.wait_for_faults(shared, timeout)
     }
 
-    fn is_spoilt(&self, held: MutexGuard<State>, within: Duration) -> bool {
+    fn wait_for_faults(&self, shared: MutexGuard<State>, timeout: Duration) -> bool {
         self.shared.1.notify_all();
-        let left = |state: &mut State| !state.spoilt.is_empty();
-        let (_held, late) = self.shared.1.wait_timeout_while(held, within, left).expect("no thread panics");
-        !late.timed_out()
+        let pending = |state: &mut State| !state.faults.is_empty();
+        let (_shared, result) =
+            self.shared.1.wait_timeout_while(shared, timeout, pending).expect("no thread panics");
+        !result.timed_out()
     }
 
-    /// Calls so far, and connections that they came on.
-    pub fn calls(&self) -> (usize, usize) {
-        let held = self.shared.0.lock().expect("no thread panics");
-        (held.calls.len(), held.connections)
+    /// Returns the number of requests so far, and of connections.
+    pub fn request_counts(&self) -> (usize, usize) {
+        let shared = self.shared.0.lock().expect("no thread panics");
+        (shared.requests.len(), shared.connections)
     }
 
-    /// Waits for a call whose path has `part` in it; false where none comes `within` that.
-    pub fn is_asked(&self, part: &str, within: Duration) -> bool {
-        let held = self.shared.0.lock().expect("no thread panics");
-        let none = |state: &mut State| !state.calls.iter().any(|call| call.contains(part));
-        let (_held, late) = self.shared.1.wait_timeout_while(held, within, none).expect("no thread panics");
-        !late.timed_out()
+    /// Waits for a request whose first line contains `part`. Returns false on a timeout.
+    pub fn wait_for_request(&self, part: &str, timeout: Duration) -> bool {
+        let shared = self.shared.0.lock().expect("no thread panics");
+        let none = |state: &mut State| !state.requests.iter().any(|request| request.contains(part));
+        let (_shared, result) =
+            self.shared.1.wait_timeout_while(shared, timeout, none).expect("no thread panics");
+        !result.timed_out()
     }
 }
 
-/// Answers one call after the other on a connection.
-fn answer(stream: TcpStream, shared: &(Mutex<State>, Condvar)) -> io::Result<()> {
+/// Answers the requests of a connection one after another.
+fn serve_connection(stream: TcpStream, shared: &(Mutex<State>, Condvar)) -> io::Result<()> {
     shared.0.lock().expect("no thread panics").connections += 1;
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
-        let mut first = String::new();
-        if reader.read_line(&mut first)? == 0 {
+        let mut request_line = String::new();
+        if reader.read_line(&mut request_line)? == 0 {
             return Ok(());
         }
         let mut header = String::new();
@@ -168,90 +178,101 @@
             header.clear();
         }
         let number = |key: &str| {
-            let value = first.split(key).nth(1)?.split(['&', ' ']).next()?;
+            let value = request_line.split(key).nth(1)?.split(['&', ' ']).next()?;
             value.parse::<u64>().ok()
         };
-        let mut held = shared.0.lock().expect("no thread panics");
-        held.calls.push(first.clone());
+        let mut state = shared.0.lock().expect("no thread panics");
+        state.requests.push(request_line.clone());
         shared.1.notify_all();
         let index = number("index=");
         if let (Some(index), Some(wait)) = (index, number("wait=")) {
-            let until = Duration::from_millis(wait);
-            let old = |state: &mut State| state.version <= index && state.spoilt.is_empty() && !state.forgot;
-            held = shared.1.wait_timeout_while(held, until, old).expect("no thread panics").0;
+            let timeout = Duration::from_millis(wait);
+            let unchanged =
+                |state: &mut State| state.version <= index && state.faults.is_empty() && !state.expired;
+            state = shared.1.wait_timeout_while(state, timeout, unchanged).expect("no thread panics").0;
         }
-        held.forgot &= index.is_some();
-        if held.forgot {
-            drop(held);
+        state.expired &= index.is_some();
+        if state.expired {
+            drop(state);
             (&stream).write_all(b"HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n")?;
             continue;
         }
-        let spoilt = held.spoilt.pop_front();
+        let fault = state.faults.pop_front();
         shared.1.notify_all();
-        let index = index.filter(|_| !matches!(spoilt, Some(Spoilt::Whole)));
-        let news = held.servers.values().filter(|(version, _)| index.is_none_or(|index| *version > index));
-        let mut servers: Vec<Value> = news.map(|(_, server)| server.clone()).collect();
-        if let Some(Spoilt::Odd) = spoilt {
+        let index = index.filter(|_| !matches!(fault, Some(ResponseFault::FullList)));
+        let changed =
+            state.servers.values().filter(|(version, _)| index.is_none_or(|index| *version > index));
+        let mut servers: Vec<Value> = changed.map(|(_, server)| server.clone()).collect();
+        if let Some(ResponseFault::UnknownState) = fault {
             servers.iter_mut().for_each(|server| server["state"] = json!(7));
         }
-        let body = match spoilt {
-            Some(Spoilt::NoList) => json!({"servers": "all"}),
-            Some(Spoilt::Older) => json!({"version": 0, "full": true, "servers": []}),
-            _ => json!({"version": held.version, "full": index.is_none(), "servers": servers}),
+        let body = match fault {
+            Some(ResponseFault::InvalidServers) => json!({"servers": "all"}),
+            Some(ResponseFault::StaleVersion) => json!({"version": 0, "full": true, "servers": []}),
+            _ => json!({"version": state.version, "full": index.is_none(), "servers": servers}),
         };
-        drop(held);
+        drop(state);
         let body = body.to_string();
-        let told = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        match spoilt {
-            Some(Spoilt::HungUp) => return Ok(()),
-            Some(Spoilt::Silent) => return reader.read_line(&mut first).map(drop),
-            Some(Spoilt::SilentInHead | Spoilt::SilentInBody) => {
-                let head = told.len() - body.len();
-                let some =
-                    if matches!(spoilt, Some(Spoilt::SilentInHead)) { head / 2 } else { told.len() - 2 };
-                (&stream).write_all(&told.as_bytes()[..some])?;
-                return reader.read_line(&mut first).map(drop);
+        let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+        let headers = response.len() - body.len();
+        match fault {
+            Some(ResponseFault::Closed) => return Ok(()),
+            Some(ResponseFault::NoResponse) => return reader.read_line(&mut request_line).map(drop),
+            Some(ResponseFault::StalledHeaders | ResponseFault::StalledBody) => {
+                let sent = match fault {
+                    Some(ResponseFault::StalledHeaders) => headers / 2,
+                    _ => response.len() - 2,
+                };
+                (&stream).write_all(&response.as_bytes()[..sent])?;
+                return reader.read_line(&mut request_line).map(drop);
+            }
+            Some(ResponseFault::Truncated) => {
+                return (&stream).write_all(&response.as_bytes()[..response.len() - body.len() / 2])
             }
-            Some(Spoilt::Cut) => return (&stream).write_all(&told.as_bytes()[..told.len() - body.len() / 2]),
-            _ => (&stream).write_all(told.as_bytes())?,
+            _ => (&stream).write_all(response.as_bytes())?,
         }
     }
 }
 
-/// Whoever dials a pilot: a proxy, a collector or a stranger.
+/// A client of a pilot: a proxy, a collector or an unknown client.
 pub struct Peer {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
-    /// What a proxy holds: its lines, by the server's id.
+    /// Weights by server id, as the received orders leave them.
     pub table: BTreeMap<String, f64>,
-    /// Marks that came.
+    /// The marks of the received orders.
     pub marks: Vec<u64>,
 }
 
 impl Peer {
-    /// Dials; no read waits longer than `patience`.
-    pub fn dial(pilot: SocketAddr, patience: Duration) -> io::Result<Peer> {
+    /// Connects to a pilot, with a read timeout.
+    pub fn dial(pilot: SocketAddr, timeout: Duration) -> io::Result<Peer> {
         let stream = TcpStream::connect(pilot)?;
-        stream.set_read_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(timeout))?;
         let reader = BufReader::new(stream.try_clone()?);
         Ok(Peer { stream, reader, table: BTreeMap::new(), marks: Vec::new() })
     }
 
+    /// Sends bytes as they are.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Says that nothing more will be sent.
+    /// Closes the sending side of the connection.
     pub fn half_close(&mut self) -> io::Result<()> {
         self.stream.shutdown(std::net::Shutdown::Write)
     }
 
-    pub fn say(&mut self, message: Value) -> io::Result<()> {
+    pub fn send_message(&mut self, message: Value) -> io::Result<()> {
         self.send(format!("{message}\n").as_bytes())
     }
 
-    /// The next message; none at the end of the connection. Errors: none came in time, or it is no JSON.
-    pub fn hear(&mut self) -> io::Result<Option<Value>> {
+    /// Reads the next message; `None` at the end of the connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error on a timeout and for a line that is not JSON.
+    pub fn receive(&mut self) -> io::Result<Option<Value>> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => Ok(None),
@@ -261,17 +282,17 @@
         }
     }
 
-    /// Hears orders, and applies them, until the table is as wanted; false where the connection ends or
-    /// `within` is over before.
-    pub fn holds(
+    /// Applies received orders until the table satisfies a condition. Returns false when the connection ends or the
+    /// timeout passes before.
+    pub fn wait_for_table(
         &mut self,
-        within: Duration,
-        mut wanted: impl FnMut(&BTreeMap<String, f64>) -> bool,
+        timeout: Duration,
+        mut condition: impl FnMut(&BTreeMap<String, f64>) -> bool,
     ) -> bool {
-        let begun = Instant::now();
-        while !wanted(&self.table) {
-            match self.hear() {
-                Ok(Some(order)) if begun.elapsed() < within => self.apply(&order),
+        let start = Instant::now();
+        while !condition(&self.table) {
+            match self.receive() {
+                Ok(Some(order)) if start.elapsed() < timeout => self.apply(&order),
                 _ => return false,
             }
         }
--- a/standins/src/soak/play.rs
+++ b/standins/src/soak/play.rs
@@ -3,7 +3,7 @@
 use super::plan::{Action, Plan, Signal};
 use super::proxy::{self, Shared};
 use super::record::{Entry, Event, Exit, Life, Recorder};
-use crate::platform::{server, Discovery, EARLIEST_KILL};
+use crate::platform::{server_entry, Discovery, MIN_TERMINATION_GRACE};
 use rustix::process::{kill_process, Pid, Signal as SystemSignal};
 use serde_json::{json, Value};
 use std::io;
@@ -136,19 +136,19 @@
                 let asked = self.signal(&pilot, series, Duration::from_secs_f64(*gap));
                 pilot.signal(SystemSignal::CONT);
                 if let Some(asked) = asked {
-                    pilot.wait(recorder, asked + EARLIEST_KILL);
+                    pilot.wait(recorder, asked + MIN_TERMINATION_GRACE);
                     self.start(&mut pilot)?;
                 }
                 Ok(())
             }
             Action::Replace { server, back_after } => {
                 let id = self.shared.plan.server(*server);
-                self.discovery.put(&id, Some(entry(&id, "draining", 0.0)));
+                self.discovery.set_entry(&id, Some(entry(&id, "draining", 0.0)));
                 recorder.note(Event::Closed { server: id.clone() });
                 std::thread::sleep(Duration::from_secs_f64(*back_after));
                 // Noted first, as a pilot may be told before this thread goes on.
                 recorder.note(Event::Listed { server: id.clone(), started: recorder.now() });
-                self.discovery.put(&id, Some(entry(&id, "up", unix_ms())));
+                self.discovery.set_entry(&id, Some(entry(&id, "up", unix_ms())));
                 Ok(())
             }
         }
@@ -208,7 +208,7 @@
 }
 
 fn entry(id: &str, state: &str, started_ms: f64) -> Value {
-    let mut entry = server(id, state);
+    let mut entry = server_entry(id, state);
     entry["started_ms"] = json!(started_ms);
     entry
 }
@@ -219,7 +219,7 @@
         let (id, cold) = (plan.server(place), plan.starts_cold(place));
         let entry = entry(&id, "up", if cold { unix_ms() } else { 0.0 });
         recorder.note(Event::Listed { server: id.clone(), started: if cold { 0.0 } else { -LONG_AGO } });
-        discovery.put(&id, Some(entry.clone()));
+        discovery.set_entry(&id, Some(entry.clone()));
         entry
     });
     listed.collect()
@@ -241,7 +241,7 @@
     for (number, host) in hosts.iter().enumerate() {
         let name = format!("n{number}");
         let configuration = place.folder.join(format!("{name}.json"));
-        let text = plan.configuration(&name, *host, discovery.host, &entries).to_string();
+        let text = plan.configuration(&name, *host, discovery.address, &entries).to_string();
         std::fs::write(&configuration, text)?;
         let program = place.program.clone();
         pilots.push(Mutex::new(Pilot {
@@ -288,7 +288,7 @@
     let recorder = &run.shared.recorder;
     pilot.look(recorder);
     if let Some(asked) = run.signal(&pilot, &[Signal::End], Duration::ZERO) {
-        pilot.wait(recorder, asked + EARLIEST_KILL);
+        pilot.wait(recorder, asked + MIN_TERMINATION_GRACE);
     }
 }
 
