--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak of restarts: seeded runs of pilots on the platform's protocol, whose clients use their connections until
-//! the kill, and a check of what crossed the sockets.
+//! Soak test of pilot restarts on the platform's protocol. Runs are drawn from a seed; clients keep using their
+//! connections until the process is killed, and the recorded events are checked afterwards.
 //!
-//! [`plan`] draws a run from its seed, [`play`] plays it with real processes, [`record`] is what was seen and
-//! [`check`] what is wrong with it.
+//! [`plan`] draws a run from its seed, [`play`] executes it with real processes, [`record`] holds the observed events
+//! and [`check`] finds violations in them.
 
 pub mod check;
 pub mod plan;
--- a/standins/src/soak/plan.rs
+++ b/standins/src/soak/plan.rs
@@ -1,25 +1,28 @@
-//! What happens in a run, drawn from its seed.
+//! The plan of a run, drawn from its seed.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// Requests a second that a proxy brings.
+/// Requests per second of each proxy.
 pub const RATE: f64 = 10.0;
-/// Part of its capacity that a server starts with, and s until it is warm.
+/// Share of its full capacity that a server has when it starts.
 pub const START_CAPACITY: f64 = 0.15;
+/// Seconds from the start of a server until it is warm.
 pub const WARM_WITHIN: f64 = 16.0;
-/// Times its capacity of the moment at which a cold server falls over.
+/// A cold server fails at a load of this multiple of its current capacity.
 pub const FALL_MULTIPLE: f64 = 2.5;
-/// MB of memory that a pilot may hold.
+/// Memory limit of a pilot in MB.
 pub const MEMORY_MB: u64 = 64;
-/// Descriptors that a pilot may hold beside one for each proxy; fewer where a crowd is to find no room.
-const ROOMY: u64 = 400;
-const TIGHT: u64 = 64;
-/// s; in runs of this length one pilot is never restarted, so that its memory and descriptors can be compared.
-const LONG: f64 = 60.0;
-
-/// Which servers have just started as a run begins.
+/// Descriptor limit of a pilot, in addition to one for each proxy.
+const EXTRA_DESCRIPTORS: u64 = 400;
+/// The same in runs with unknown clients, few enough that the limit is reached.
+const EXTRA_DESCRIPTORS_WITH_CROWD: u64 = 64;
+/// Seconds; in runs of at least this length one pilot is never restarted, so that its memory and descriptors can be
+/// compared over time.
+const LONG_RUN: f64 = 60.0;
+
+/// Which servers are cold at the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cold {
     None,
@@ -27,48 +30,50 @@
     All,
 }
 
-/// What proxies tell of the rate that they usually bring.
+/// Which proxies report their usual request rate when they attach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rates {
+    /// All proxies.
     Told,
-    /// All tell 0.
+    /// None; all report 0.
     Untold,
-    /// One tells it, the others 0.
+    /// One proxy; the others report 0.
     OneTold,
 }
 
-/// The list that a pilot is given at its start, beside discovery's.
+/// The server list in the configuration of a pilot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Known {
-    /// As discovery has it.
+    /// The same list as discovery.
     Same,
-    /// Empty.
+    /// An empty list.
     Nothing,
-    /// One server of all.
+    /// One of the servers.
     One,
 }
 
-/// A signal of a series.
+/// A signal to a pilot: SIGHUP or SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     Reload,
-    End,
+    Terminate,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Signals to a pilot, `gap` seconds apart. Where one asks it to end, it is killed at the page's earliest after
-    /// that, and started again. Where it is held, its process stands still before and while they are sent, so that
-    /// they meet it in one turn with what all clients have asked meanwhile.
-    Signals { pilot: usize, series: Vec<Signal>, gap: f64, held: bool },
-    /// A kill without notice, and a start.
+    /// Sends signals to a pilot, `gap` seconds apart. After a SIGTERM the pilot is killed if it still runs at the end
+    /// of the grace period, and restarted. With `suspended`, the process is stopped before and while the signals are sent,
+    /// so that it handles them together with all client requests that have arrived meanwhile.
+    Signals { pilot: usize, signals: Vec<Signal>, gap: f64, suspended: bool },
+    /// Kills a pilot without a preceding SIGTERM and restarts it.
     Kill { pilot: usize },
-    /// A server drains, and comes back cold later.
+    /// Drains a server and lists it again, cold, after `back_after` seconds.
     Replace { server: usize, back_after: f64 },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
+    /// Seconds since the start of the run.
     pub at: f64,
     pub action: Action,
 }
@@ -83,53 +88,53 @@
     pub cold: Cold,
     pub rates: Rates,
     pub known: Known,
-    /// Strangers who dial all the while: some say nothing, some garbage, some half a message.
+    /// Number of unknown clients that connect again and again: some send nothing, some garbage, some half a message.
     pub crowd: usize,
-    /// Descriptors that a pilot may hold.
+    /// Descriptor limit of a pilot.
     pub sockets: u64,
     pub steps: Vec<Step>,
 }
 
-fn one_of<T: Clone>(chance: &mut fastrand::Rng, all: &[T]) -> T {
-    all[chance.usize(..all.len())].clone()
+fn choose<T: Clone>(rng: &mut fastrand::Rng, options: &[T]) -> T {
+    options[rng.usize(..options.len())].clone()
 }
 
-/// What happens next, to one of the pilots in `restarted` where it is to one.
-fn action(chance: &mut fastrand::Rng, restarted: Range<usize>, servers: usize) -> Action {
-    use Signal::{End, Reload};
-    let kind = if restarted.is_empty() { 0 } else { chance.u8(..8) };
-    let pilot = if restarted.is_empty() { 0 } else { chance.usize(restarted) };
+/// Draws the next action; one that concerns a pilot chooses it from `restartable`.
+fn draw_action(rng: &mut fastrand::Rng, restartable: Range<usize>, servers: usize) -> Action {
+    use Signal::{Reload, Terminate};
+    let kind = if restartable.is_empty() { 0 } else { rng.u8(..8) };
+    let pilot = if restartable.is_empty() { 0 } else { rng.usize(restartable) };
     match kind {
         2 => Action::Kill { pilot },
-        0 | 1 => Action::Replace { server: chance.usize(..servers), back_after: 0.5 + chance.f64() },
+        0 | 1 => Action::Replace { server: rng.usize(..servers), back_after: 0.5 + rng.f64() },
         _ => {
-            let series = [
-                vec![Reload, Reload, End],
-                vec![End, End],
-                vec![Reload, End],
-                vec![End, Reload],
+            let sequences = [
+                vec![Reload, Reload, Terminate],
+                vec![Terminate, Terminate],
+                vec![Reload, Terminate],
+                vec![Terminate, Reload],
                 vec![Reload, Reload, Reload],
             ];
-            let (series, gap) = (one_of(chance, &series), one_of(chance, &[0.0, 0.002, 0.05]));
-            Action::Signals { pilot, series, gap, held: chance.bool() }
+            let (signals, gap) = (choose(rng, &sequences), choose(rng, &[0.0, 0.002, 0.05]));
+            Action::Signals { pilot, signals, gap, suspended: rng.bool() }
         }
     }
 }
 
 impl Plan {
-    /// The run of a seed, of a length.
+    /// Draws the run of a seed.
     pub fn draw(seed: u64, seconds: f64) -> Plan {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let (pilots, servers) = (chance.usize(1..=3), chance.usize(2..=12));
-        let spared = usize::from(seconds >= LONG);
-        let crowd = if chance.u8(..3) == 0 { chance.usize(50..=150) } else { 0 };
-        let proxies = chance.u16(3..=24);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (pilots, servers) = (rng.usize(1..=3), rng.usize(2..=12));
+        let first_restartable = usize::from(seconds >= LONG_RUN);
+        let crowd = if rng.u8(..3) == 0 { rng.usize(50..=150) } else { 0 };
+        let proxies = rng.u16(3..=24);
         let mut steps = Vec::new();
-        let mut at = 0.3 + chance.f64();
-        // The last one is over by the end: a restart, and time to join and to be given a table.
+        let mut at = 0.3 + rng.f64();
+        // The last action leaves time for a restart and for proxies to attach and to receive a table.
         while at < seconds - 4.0 {
-            steps.push(Step { at, action: action(&mut chance, spared..pilots, servers) });
-            at += 0.3 + 0.9 * chance.f64();
+            steps.push(Step { at, action: draw_action(&mut rng, first_restartable..pilots, servers) });
+            at += 0.3 + 0.9 * rng.f64();
         }
         Plan {
             seed,
@@ -137,29 +142,30 @@
             pilots,
             proxies,
             servers,
-            cold: one_of(&mut chance, &[Cold::None, Cold::Half, Cold::All]),
-            rates: one_of(&mut chance, &[Rates::Told, Rates::Told, Rates::Untold, Rates::OneTold]),
-            known: one_of(&mut chance, &[Known::Same, Known::Same, Known::Nothing, Known::One]),
+            cold: choose(&mut rng, &[Cold::None, Cold::Half, Cold::All]),
+            rates: choose(&mut rng, &[Rates::Told, Rates::Told, Rates::Untold, Rates::OneTold]),
+            known: choose(&mut rng, &[Known::Same, Known::Same, Known::Nothing, Known::One]),
             crowd,
-            sockets: u64::from(proxies) + if crowd > 0 { TIGHT } else { ROOMY },
+            sockets: u64::from(proxies)
+                + if crowd > 0 { EXTRA_DESCRIPTORS_WITH_CROWD } else { EXTRA_DESCRIPTORS },
             steps,
         }
     }
 
-    pub fn server(&self, place: usize) -> String {
-        format!("s-{place}")
+    pub fn server_id(&self, index: usize) -> String {
+        format!("s-{index}")
     }
 
-    pub fn starts_cold(&self, place: usize) -> bool {
+    pub fn starts_cold(&self, index: usize) -> bool {
         match self.cold {
             Cold::None => false,
-            Cold::Half => place.is_multiple_of(2),
+            Cold::Half => index.is_multiple_of(2),
             Cold::All => true,
         }
     }
 
-    /// What a proxy tells of its usual rate.
-    pub fn told_rate(&self, proxy: u16) -> f64 {
+    /// The usual request rate that a proxy reports when it attaches.
+    pub fn reported_rate(&self, proxy: u16) -> f64 {
         match self.rates {
             Rates::Told => RATE,
             Rates::OneTold if proxy == 0 => RATE,
@@ -167,12 +173,12 @@
         }
     }
 
-    /// Requests a second that a warm server carries: all together carry twice what comes.
-    pub fn carries(&self) -> f64 {
+    /// Capacity of a warm server in requests per second; all servers together have twice the capacity needed.
+    pub fn server_capacity(&self) -> f64 {
         2.0 * RATE * f64::from(self.proxies) / self.servers as f64
     }
 
-    /// The configuration of a pilot.
+    /// Returns the configuration of a pilot; `known` are the entries of all servers.
     pub fn configuration(
         &self,
         name: &str,
--- a/standins/src/soak/proxy.rs
+++ b/standins/src/soak/proxy.rs
@@ -1,7 +1,8 @@
-//! Clients of a run: proxies that follow their orders and ask all the while, collectors, and a crowd of strangers.
+//! Clients of a run: proxies, which apply their orders and send heartbeats continuously, collectors and unknown
+//! clients.
 
 use super::plan::{Plan, RATE};
-use super::record::{Connection, Ending, Event, Life, Recorder, Table};
+use super::record::{Connection, Ending, Event, ProcessNumber, Recorder, Table};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -10,105 +11,107 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Between two requests on a connection.
-const ASK_EVERY: Duration = Duration::from_millis(40);
-/// Between two reports.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
-/// Before another try to dial.
-const DIAL_AGAIN: Duration = Duration::from_millis(5);
-/// Longest wait for bytes in one turn.
-const TURN: Duration = Duration::from_millis(5);
-/// ms that an attempt takes.
-const ANSWERED_AFTER: f64 = 20.0;
+/// Interval of heartbeats on a connection.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval of load reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before a client connects again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(5);
+/// Timeout of a read.
+const READ_TIMEOUT: Duration = Duration::from_millis(5);
+/// Response time of servers in collectors' reports, in ms.
+const RESPONSE_TIME_MS: f64 = 20.0;
 
-/// What all clients of a run share.
+/// State that all clients of a run share.
 pub struct Shared {
     pub plan: Plan,
     pub recorder: Recorder,
-    /// Where each pilot listens, and its present process.
+    /// The address of each pilot and the number of its current process.
     pub pilots: Vec<(SocketAddr, AtomicUsize)>,
-    pub over: AtomicBool,
+    /// Set at the end of the run.
+    pub finished: AtomicBool,
     connections: AtomicUsize,
-    /// What proxies bring, by the pilot that they have joined: table and admitted part.
-    joined: Mutex<BTreeMap<u16, (usize, Table, f64)>>,
+    /// Attached proxies, by number: the pilot, the table and the admitted share of requests.
+    attached: Mutex<BTreeMap<u16, (usize, Table, f64)>>,
 }
 
 impl Shared {
     pub fn new(plan: Plan, recorder: Recorder, hosts: Vec<SocketAddr>) -> Arc<Shared> {
-        let pilots = hosts.into_iter().map(|host| (host, AtomicUsize::new(Life::MAX))).collect();
-        let (over, connections) = (AtomicBool::new(false), AtomicUsize::new(0));
-        Arc::new(Shared { plan, recorder, pilots, over, connections, joined: Mutex::default() })
+        let pilots = hosts.into_iter().map(|host| (host, AtomicUsize::new(ProcessNumber::MAX))).collect();
+        let (finished, connections) = (AtomicBool::new(false), AtomicUsize::new(0));
+        Arc::new(Shared { plan, recorder, pilots, finished, connections, attached: Mutex::default() })
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::SeqCst)
     }
 
-    fn life(&self, pilot: usize) -> Life {
+    fn process_number(&self, pilot: usize) -> ProcessNumber {
         self.pilots[pilot].1.load(Ordering::SeqCst)
     }
 }
 
-/// A connection, read without losing what has come of a line.
+/// A connection to a pilot that keeps incomplete lines between reads.
 struct Stream {
     stream: TcpStream,
-    begun: Vec<u8>,
-    /// Requests that were answered.
+    buffer: Vec<u8>,
+    /// Number of answered heartbeats.
     answers: usize,
     number: Connection,
-    life: Life,
+    process: ProcessNumber,
     shared: Arc<Shared>,
 }
 
 impl Stream {
-    /// Dials a pilot. Errors: nobody listens there.
+    /// Connects to a pilot.
     fn dial(shared: &Arc<Shared>, pilot: usize) -> io::Result<Stream> {
-        let life = shared.life(pilot);
+        let process = shared.process_number(pilot);
         let stream = TcpStream::connect(shared.pilots[pilot].0)?;
-        stream.set_read_timeout(Some(TURN))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
         let number = shared.connections.fetch_add(1, Ordering::SeqCst);
-        Ok(Stream { stream, begun: Vec::new(), answers: 0, number, life, shared: shared.clone() })
+        Ok(Stream { stream, buffer: Vec::new(), answers: 0, number, process, shared: shared.clone() })
     }
 
-    fn say(&mut self, message: &Value) -> io::Result<()> {
+    fn send(&mut self, message: &Value) -> io::Result<()> {
         self.stream.write_all(format!("{message}\n").as_bytes())
     }
 
-    /// Asks for a sign of life. It is noted before it is sent, as the answer may be quicker than the note.
-    fn ask(&mut self) -> io::Result<()> {
-        self.shared.recorder.note(Event::Asked { connection: self.number, life: self.life });
-        self.say(&json!({"msg": "hb"}))
+    /// Sends a heartbeat. It is recorded first, as the answer may arrive before this thread continues.
+    fn send_heartbeat(&mut self) -> io::Result<()> {
+        self.shared.recorder.record(Event::Asked { connection: self.number, life: self.process });
+        self.send(&json!({"msg": "hb"}))
     }
 
-    /// Messages that have come within a turn; none at the end of the connection.
-    fn hear(&mut self) -> Option<Vec<Value>> {
-        let mut buffer = [0; 1 << 14];
-        match self.stream.read(&mut buffer) {
+    /// Returns the messages received within the read timeout, without heartbeat answers; `None` at the end of the
+    /// connection.
+    fn receive(&mut self) -> Option<Vec<Value>> {
+        let mut chunk = [0; 1 << 14];
+        match self.stream.read(&mut chunk) {
             Ok(0) => {
-                // What arrived after the other side had closed was not read: then the system tells of a reset.
+                // A pending error is a reset: the pilot closed the connection with unread data from this client.
                 let unread = matches!(self.stream.take_error(), Ok(Some(_)) | Err(_));
-                self.ended(if unread { Ending::Reset } else { Ending::Closed });
+                self.record_end(if unread { Ending::Reset } else { Ending::Closed });
                 return None;
             }
-            Ok(n) => self.begun.extend(&buffer[..n]),
+            Ok(n) => self.buffer.extend(&chunk[..n]),
             Err(e)
                 if matches!(
                     e.kind(),
                     ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
                 ) => {}
             Err(_) => {
-                self.ended(Ending::Reset);
+                self.record_end(Ending::Reset);
                 return None;
             }
         }
         let mut messages = Vec::new();
-        while let Some(end) = self.begun.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.begun.drain(..=end).collect();
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             let message: Value = serde_json::from_slice(&line).unwrap_or_default();
             if message["msg"] == "hb_ok" {
                 self.answers += 1;
-                self.shared.recorder.note(Event::Answered { connection: self.number });
+                self.shared.recorder.record(Event::Answered { connection: self.number });
             } else {
                 messages.push(message);
             }
@@ -116,21 +119,21 @@
         Some(messages)
     }
 
-    fn ended(&self, ending: Ending) {
-        self.shared.recorder.note(Event::Ended { connection: self.number, ending });
+    fn record_end(&self, ending: Ending) {
+        self.shared.recorder.record(Event::Ended { connection: self.number, ending });
     }
 }
 
-/// A proxy's table and levels, as its orders leave them.
+/// A proxy's table and admission levels, as its orders leave them.
 #[derive(Default)]
-struct Held {
+struct ProxyState {
     table: Table,
-    /// By class.
+    /// Admission levels by class.
     levels: BTreeMap<String, f64>,
 }
 
-impl Held {
-    /// Takes in an order; returns the mark that it is to answer.
+impl ProxyState {
+    /// Applies an order; returns its mark, which the proxy acknowledges.
     fn apply(&mut self, order: &Value) -> Option<u64> {
         if order["full"] == true {
             self.table.clear();
@@ -143,137 +146,147 @@
         }
         self.table.retain(|_, weight| *weight > 0.0);
         if let Some(level) = order["admit"].as_f64() {
-            let named = order["routes"].as_array().cloned();
-            let named = named.unwrap_or_else(|| vec![json!("lookup"), json!("order")]);
-            for class in named.iter().filter_map(Value::as_str) {
+            let classes = order["routes"].as_array().cloned();
+            let classes = classes.unwrap_or_else(|| vec![json!("lookup"), json!("order")]);
+            for class in classes.iter().filter_map(Value::as_str) {
                 self.levels.insert(class.to_string(), level);
             }
         }
         order["nonce_out"].as_u64()
     }
 
-    /// Part of its requests that it lets in: all are of the first class.
+    /// Share of its requests that it admits; all are of the first class.
     fn admitted(&self) -> f64 {
         self.levels.get("lookup").copied().unwrap_or(1.0)
     }
 }
 
-/// Plays a proxy until the run is over: joins one pilot after the other, whenever a stream ends.
-pub fn proxy(shared: Arc<Shared>, number: u16) {
-    let mut chance = fastrand::Rng::with_seed(shared.plan.seed ^ u64::from(number) << 32);
-    let mut held = Held::default();
+/// Runs a proxy until the run is finished. Whenever its connection ends, it attaches to a randomly chosen pilot.
+pub fn run_proxy(shared: Arc<Shared>, number: u16) {
+    let mut rng = fastrand::Rng::with_seed(shared.plan.seed ^ u64::from(number) << 32);
+    let mut state = ProxyState::default();
     let mut pilot = usize::from(number) % shared.pilots.len();
     let mut fresh = true;
-    while !shared.is_over() {
+    while !shared.is_finished() {
         if let Ok(mut stream) = Stream::dial(&shared, pilot) {
             let attach = json!({"msg": "attach", "proxy": number, "zone": "a",
-                                "weight": shared.plan.told_rate(number), "fresh": fresh});
+                                "weight": shared.plan.reported_rate(number), "fresh": fresh});
             fresh = false;
-            shared.recorder.note(Event::Joined { proxy: number, life: stream.life });
-            if stream.say(&attach).is_ok() {
-                serve(&shared, &mut stream, number, pilot, &mut held);
+            shared.recorder.record(Event::Joined { proxy: number, life: stream.process });
+            if stream.send(&attach).is_ok() {
+                follow_orders(&shared, &mut stream, number, pilot, &mut state);
             }
-            shared.joined.lock().expect("no thread panics").remove(&number);
-            shared.recorder.note(Event::Left { proxy: number });
+            shared.attached.lock().expect("no thread panics").remove(&number);
+            shared.recorder.record(Event::Left { proxy: number });
         }
-        pilot = chance.usize(..shared.pilots.len());
-        std::thread::sleep(DIAL_AGAIN);
+        pilot = rng.usize(..shared.pilots.len());
+        std::thread::sleep(RECONNECT_DELAY);
     }
 }
 
-/// Follows the orders of a stream, and asks and reports on it, until it ends or the run is over.
-fn serve(shared: &Arc<Shared>, stream: &mut Stream, number: u16, pilot: usize, held: &mut Held) {
-    let (mut asked_at, mut reported_at) = (Instant::now(), Instant::now());
-    while !shared.is_over() {
-        let Some(orders) = stream.hear() else { return };
+/// Applies orders and sends heartbeats and reports until the connection ends or the run is finished.
+fn follow_orders(
+    shared: &Arc<Shared>,
+    stream: &mut Stream,
+    number: u16,
+    pilot: usize,
+    state: &mut ProxyState,
+) {
+    let (mut heartbeat_at, mut reported_at) = (Instant::now(), Instant::now());
+    while !shared.is_finished() {
+        let Some(orders) = stream.receive() else { return };
         for order in &orders {
-            let mark = held.apply(order);
-            let (table, admitted) = (held.table.clone(), held.admitted());
-            shared.joined.lock().expect("no thread panics").insert(number, (pilot, table.clone(), admitted));
-            shared.recorder.note(Event::Holding { proxy: number, table, admitted });
+            let mark = state.apply(order);
+            let (table, admitted) = (state.table.clone(), state.admitted());
+            shared
+                .attached
+                .lock()
+                .expect("no thread panics")
+                .insert(number, (pilot, table.clone(), admitted));
+            shared.recorder.record(Event::Holding { proxy: number, table, admitted });
             if let Some(mark) = mark {
-                // One that can't be written shows when it is heard next.
-                let _ = stream.say(&json!({"msg": "done", "proxy": number, "mark": mark, "took_ms": 1.0}));
+                // A write error is noticed by the next read.
+                let _ = stream.send(&json!({"msg": "done", "proxy": number, "mark": mark, "took_ms": 1.0}));
             }
         }
-        if asked_at.elapsed() >= ASK_EVERY {
-            asked_at = Instant::now();
-            let _ = stream.ask();
+        if heartbeat_at.elapsed() >= HEARTBEAT_INTERVAL {
+            heartbeat_at = Instant::now();
+            let _ = stream.send_heartbeat();
         }
-        if reported_at.elapsed() >= REPORT_EVERY {
+        if reported_at.elapsed() >= REPORT_INTERVAL {
             reported_at = Instant::now();
-            let _ = stream.say(&json!({"msg": "client_stats", "proxy": number, "class": "lookup",
+            let _ = stream.send(&json!({"msg": "client_stats", "proxy": number, "class": "lookup",
                                        "tries": RATE, "failed": 0, "span_ms": 1000.0}));
         }
     }
-    stream.ended(Ending::Ours);
+    stream.record_end(Ending::Ours);
 }
 
-/// Tells a pilot once a second what its proxies met at servers, which answer all that they are sent.
-pub fn collector(shared: Arc<Shared>, pilot: usize) {
-    while !shared.is_over() {
+/// Reports the requests of a pilot's proxies to it once a second, by server; no request fails.
+pub fn run_collector(shared: Arc<Shared>, pilot: usize) {
+    while !shared.is_finished() {
         if let Ok(mut stream) = Stream::dial(&shared, pilot) {
-            let _ = stream.say(&json!({"msg": "telemetry", "zone": "a"}));
+            let _ = stream.send(&json!({"msg": "telemetry", "zone": "a"}));
             let mut reported_at = Instant::now();
-            while !shared.is_over() && stream.hear().is_some() {
-                if reported_at.elapsed() < REPORT_EVERY {
+            while !shared.is_finished() && stream.receive().is_some() {
+                if reported_at.elapsed() < REPORT_INTERVAL {
                     continue;
                 }
                 reported_at = Instant::now();
-                for (server, tries) in attempts(&shared, pilot) {
-                    let _ = stream
-                        .say(&json!({"msg": "upstream_stats", "zone": "a", "server": server, "tries": tries,
-                                               "failed": 0, "mean_ms": ANSWERED_AFTER, "span_ms": 1000.0}));
+                for (server, tries) in request_rates(&shared, pilot) {
+                    let report = json!({"msg": "upstream_stats", "zone": "a", "server": server, "tries": tries,
+                                        "failed": 0, "mean_ms": RESPONSE_TIME_MS, "span_ms": 1000.0});
+                    let _ = stream.send(&report);
                 }
             }
         }
-        std::thread::sleep(DIAL_AGAIN);
+        std::thread::sleep(RECONNECT_DELAY);
     }
 }
 
-/// Requests a second that a pilot's proxies send to each server.
-fn attempts(shared: &Shared, pilot: usize) -> BTreeMap<String, f64> {
-    let mut attempts = BTreeMap::new();
-    for (own, table, admitted) in shared.joined.lock().expect("no thread panics").values() {
-        let all: f64 = table.values().sum();
-        for (server, weight) in table.iter().filter(|_| *own == pilot && all > 0.0) {
-            *attempts.entry(server.clone()).or_insert(0.0) += RATE * admitted * weight / all;
+/// Requests per second from a pilot's proxies to each server.
+fn request_rates(shared: &Shared, pilot: usize) -> BTreeMap<String, f64> {
+    let mut rates = BTreeMap::new();
+    for (attached_to, table, admitted) in shared.attached.lock().expect("no thread panics").values() {
+        let total: f64 = table.values().sum();
+        for (server, weight) in table.iter().filter(|_| *attached_to == pilot && total > 0.0) {
+            *rates.entry(server.clone()).or_insert(0.0) += RATE * admitted * weight / total;
         }
     }
-    attempts
+    rates
 }
 
-/// Plays a stranger, who dials again as soon as it is sent away.
-pub fn stranger(shared: Arc<Shared>, number: usize) {
+/// Runs an unknown client, which connects again as soon as its connection ends. `number` selects what it sends.
+pub fn run_unknown_client(shared: Arc<Shared>, number: usize) {
     let pilot = number % shared.pilots.len();
-    while !shared.is_over() {
+    while !shared.is_finished() {
         if let Ok(mut stream) = Stream::dial(&shared, pilot) {
             let _ = match number % 4 {
                 0 => Ok(()),
-                1 => stream.say(&json!("garbage")),
+                1 => stream.send(&json!("garbage")),
                 2 => stream.stream.write_all(b"{\"msg\":\"attach\",\"pro"),
-                _ => stream.ask(),
+                _ => stream.send_heartbeat(),
             };
-            while stream.hear().is_some() && !shared.is_over() {}
+            while stream.receive().is_some() && !shared.is_finished() {}
         }
-        std::thread::sleep(DIAL_AGAIN);
+        std::thread::sleep(RECONNECT_DELAY);
     }
 }
 
-/// Dials a process until it answers a heartbeat, and notes when it did.
-pub fn wait_until_ready(shared: &Arc<Shared>, pilot: usize, life: Life) {
-    let waits = || !shared.is_over() && shared.life(pilot) == life;
-    while waits() {
+/// Connects to a process until it answers a heartbeat, and records that it is ready.
+pub fn wait_until_ready(shared: &Arc<Shared>, pilot: usize, process: ProcessNumber) {
+    let waiting = || !shared.is_finished() && shared.process_number(pilot) == process;
+    while waiting() {
         if let Ok(mut stream) = Stream::dial(shared, pilot) {
-            let _ = stream.ask();
-            while waits() && stream.hear().is_some() {
+            let _ = stream.send_heartbeat();
+            while waiting() && stream.receive().is_some() {
                 if stream.answers > 0 {
-                    shared.recorder.note(Event::Ready { life });
-                    stream.ended(Ending::Ours);
+                    shared.recorder.record(Event::Ready { life: process });
+                    stream.record_end(Ending::Ours);
                     return;
                 }
             }
         }
-        std::thread::sleep(DIAL_AGAIN);
+        std::thread::sleep(RECONNECT_DELAY);
     }
 }
--- a/standins/src/soak/record.rs
+++ b/standins/src/soak/record.rs
@@ -1,23 +1,23 @@
-//! What was seen of a run, in the order of time.
+//! The observed events of a run, in order of time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// One process of a pilot, from its start to its end.
-pub type Life = usize;
-/// One connection of a run.
+/// Number of a pilot process; each start of a pilot gets a new one.
+pub type ProcessNumber = usize;
+/// Number of a connection within a run.
 pub type Connection = usize;
 
-/// The table that a proxy holds: weights by server.
+/// The table that a proxy holds: weights by server id.
 pub type Table = BTreeMap<String, f64>;
 
 /// How a connection ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Closed, with all that the client sent read.
+    /// The pilot closed it after it had read everything that the client sent.
     Closed,
-    /// Reset: some of what the client sent was not read.
+    /// The pilot closed it with unread data from the client, which resets the connection.
     Reset,
     /// The client closed it.
     Ours,
@@ -26,48 +26,48 @@
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// By itself, with this status; none where a signal ended it.
+    /// It exited with this status; `None` if a signal terminated it.
     Status(Option<i32>),
-    /// Killed, as it still ran at the earliest kill after SIGTERM.
+    /// Killed because it still ran at the end of the grace period after SIGTERM.
     KilledLate,
-    /// Killed without notice.
+    /// Killed without a preceding SIGTERM.
     KilledUnasked,
-    /// By itself, though nobody had asked it to.
+    /// It exited although no signal had been sent.
     Unbidden,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A process was started, and answered its first heartbeat.
     Started {
-        life: Life,
+        life: ProcessNumber,
     },
+    /// The process answered its first heartbeat.
     Ready {
-        life: Life,
+        life: ProcessNumber,
     },
     /// SIGTERM was sent.
     AskedToEnd {
-        life: Life,
+        life: ProcessNumber,
     },
     Exited {
-        life: Life,
+        life: ProcessNumber,
         exit: Exit,
     },
-    /// A line of the log tells of a panic.
+    /// The log of the process contains a panic message.
     Panicked {
-        life: Life,
+        life: ProcessNumber,
         line: String,
     },
     /// Memory in KiB and open descriptors of a process.
     Holds {
-        life: Life,
+        life: ProcessNumber,
         memory: u64,
         descriptors: u64,
     },
-    /// Requests and answers on a connection.
+    /// A heartbeat request was sent.
     Asked {
         connection: Connection,
-        life: Life,
+        life: ProcessNumber,
     },
     Answered {
         connection: Connection,
@@ -76,24 +76,27 @@
         connection: Connection,
         ending: Ending,
     },
-    /// A proxy joined on a connection that is new, and what it holds from then on.
+    /// A proxy attached to a pilot on a new connection.
     Joined {
         proxy: u16,
-        life: Life,
+        life: ProcessNumber,
     },
     Left {
         proxy: u16,
     },
+    /// The table of a proxy after an order, and the share of requests that it admits.
     Holding {
         proxy: u16,
         table: Table,
         admitted: f64,
     },
-    /// Discovery lists a server as open, started that many seconds before the run's start or after it; or no more.
+    /// Discovery lists a server as `up`. `started` is in seconds since the start of the run, negative for an earlier
+    /// start.
     Listed {
         server: String,
         started: f64,
     },
+    /// Discovery lists a server as `draining`.
     Closed {
         server: String,
     },
@@ -106,7 +109,7 @@
     pub event: Event,
 }
 
-/// Takes entries from all threads of a run.
+/// Collects the events of all threads of a run.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -123,13 +126,13 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    pub fn note(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         let mut entries = self.entries.lock().expect("no thread panics");
-        // Under the lock, so that entries are in the order of their times.
+        // The time is taken under the lock, so that entries are in order of time.
         entries.push(Entry { at: self.now(), event });
     }
 
-    /// All that was noted so far.
+    /// Removes and returns all entries recorded so far.
     pub fn take(&self) -> Vec<Entry> {
         std::mem::take(&mut *self.entries.lock().expect("no thread panics"))
     }
--- a/standins/src/soaking.rs
+++ b/standins/src/soaking.rs
@@ -1,19 +1,19 @@
-//! The command `soak`: plays runs, tells how each ended, and how those that failed are played again.
+//! The `soak` command: executes runs, prints their results, and for failed runs the command to repeat them.
 
 use oatlever_standins::soak::check::{check, times_to_ready, Violation, MOSTLY_READY_WITHIN};
 use oatlever_standins::soak::plan::Plan;
-use oatlever_standins::soak::play::{play, Place};
+use oatlever_standins::soak::play::{play, Options};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// Of all starts, in tenths, that must be ready soon.
-const MOST_TENTHS: usize = 9;
+/// Tenths of all processes that must be ready within `MOSTLY_READY_WITHIN`.
+const MOSTLY_TENTHS: usize = 9;
 
-/// What a run came to.
+/// The result of a run.
 struct Outcome {
     plan: Plan,
-    /// s from each start to the first answer.
-    ready: Vec<f64>,
+    /// Seconds from the start of each process to its first answer.
+    times_to_ready: Vec<f64>,
     violations: Vec<Violation>,
     folder: PathBuf,
 }
@@ -21,9 +21,9 @@
 fn run(seed: u64, seconds: f64, slot: u8, program: &Path) -> Result<Outcome, String> {
     let plan = Plan::draw(seed, seconds);
     let folder = std::env::temp_dir().join(format!("oatlever-soak-{}-{seed}", std::process::id()));
-    let place = Place { program: program.to_path_buf(), folder: folder.clone(), slot };
-    let record = play(&plan, &place).map_err(|e| format!("seed {seed}: {e}"))?;
-    let (ready, violations) = (times_to_ready(&record), check(&plan, &record));
+    let options = Options { program: program.to_path_buf(), folder: folder.clone(), slot };
+    let record = play(&plan, &options).map_err(|e| format!("seed {seed}: {e}"))?;
+    let (times_to_ready, violations) = (times_to_ready(&record), check(&plan, &record));
     if violations.is_empty() {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
@@ -31,16 +31,16 @@
             record.iter().map(|entry| format!("{:.4} {:?}\n", entry.at, entry.event)).collect();
         std::fs::write(folder.join("record.txt"), lines.concat()).map_err(|e| e.to_string())?;
     }
-    Ok(Outcome { plan, ready, violations, folder })
+    Ok(Outcome { plan, times_to_ready, violations, folder })
 }
 
-fn tell(outcome: &Outcome) {
+fn print(outcome: &Outcome) {
     let plan = &outcome.plan;
-    let slowest = outcome.ready.iter().copied().fold(0.0, f64::max);
+    let slowest = outcome.times_to_ready.iter().copied().fold(0.0, f64::max);
     println!(
         "seed {:4}  pilots {}  proxies {:2}  servers {:2} {:?}  rates {:?}  known {:?}  crowd {:3}  steps {:2}  starts {:2}  ready within {slowest:.2} s  {}",
         plan.seed, plan.pilots, plan.proxies, plan.servers, plan.cold, plan.rates, plan.known, plan.crowd,
-        plan.steps.len(), outcome.ready.len(),
+        plan.steps.len(), outcome.times_to_ready.len(),
         if outcome.violations.is_empty() { "kept".to_string() } else { format!("{} BROKEN", outcome.violations.len()) },
     );
     for violation in &outcome.violations {
@@ -56,32 +56,33 @@
     }
 }
 
-/// Plays the runs of some seeds; returns whether nothing was wrong with any.
+/// Executes the runs of some seeds; returns whether there were no violations.
 pub fn soak(seeds: Range<u64>, seconds: f64, at_once: usize, program: &Path) -> Result<bool, String> {
     let seeds: Vec<u64> = seeds.collect();
-    let (mut failed, mut ready) = (0, Vec::new());
-    for some in seeds.chunks(at_once) {
+    let (mut failed, mut times_to_ready) = (0, Vec::new());
+    for batch in seeds.chunks(at_once) {
         let outcomes = std::thread::scope(|scope| {
             let play = |(slot, seed): (usize, &u64)| {
                 let seed = *seed;
                 scope.spawn(move || run(seed, seconds, slot as u8, program))
             };
-            let played: Vec<_> = some.iter().enumerate().map(play).collect();
-            played.into_iter().map(|run| run.join().expect("no run panics")).collect::<Result<Vec<_>, _>>()
+            let runs: Vec<_> = batch.iter().enumerate().map(play).collect();
+            runs.into_iter().map(|run| run.join().expect("no run panics")).collect::<Result<Vec<_>, _>>()
         })?;
         for outcome in outcomes {
-            tell(&outcome);
+            print(&outcome);
             failed += usize::from(!outcome.violations.is_empty());
-            ready.extend(outcome.ready);
+            times_to_ready.extend(outcome.times_to_ready);
         }
     }
-    ready.sort_by(f64::total_cmp);
-    let most = ready.get((ready.len() * MOST_TENTHS).div_ceil(10).saturating_sub(1)).copied().unwrap_or(0.0);
+    times_to_ready.sort_by(f64::total_cmp);
+    let mostly_index = (times_to_ready.len() * MOSTLY_TENTHS).div_ceil(10).saturating_sub(1);
+    let mostly = times_to_ready.get(mostly_index).copied().unwrap_or(0.0);
     println!(
-        "{} runs, {failed} failed; {} starts, nine in ten ready within {most:.2} s, all within {:.2} s",
+        "{} runs, {failed} failed; {} starts, nine in ten ready within {mostly:.2} s, all within {:.2} s",
         seeds.len(),
-        ready.len(),
-        ready.last().copied().unwrap_or(0.0)
+        times_to_ready.len(),
+        times_to_ready.last().copied().unwrap_or(0.0)
     );
-    Ok(failed == 0 && most <= MOSTLY_READY_WITHIN)
+    Ok(failed == 0 && mostly <= MOSTLY_READY_WITHIN)
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -1,9 +1,8 @@
-//! The soak's checks: each finds the fault that it is there for, and nothing in a run without one; and a seeded part
-//! of the soak itself.
+//! Tests of the soak checks on hand-written records, and short seeded runs of the soak itself.
 
 use oatlever_standins::soak::check::{check, Violation};
 use oatlever_standins::soak::plan::Plan;
-use oatlever_standins::soak::proxy::{stranger, Shared};
+use oatlever_standins::soak::proxy::{run_unknown_client, Shared};
 use oatlever_standins::soak::record::{Ending, Entry, Event, Exit, Recorder, Table};
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -11,7 +10,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-/// A run of one pilot, two proxies and two warm servers, written by hand.
+/// A hand-written record of a run with one pilot, two proxies and two warm servers.
 struct Record {
     plan: Plan,
     entries: Vec<Entry>,
@@ -22,8 +21,8 @@
 }
 
 impl Record {
-    /// All is well until 1 s: the pilot is ready, both proxies hold both servers.
-    fn begun() -> Record {
+    /// A record without violations up to 1 s: the pilot is ready and both proxies hold both servers.
+    fn started() -> Record {
         let plan = Plan { pilots: 1, proxies: 2, servers: 2, ..Plan::draw(1, 8.0) };
         let mut record = Record { plan, entries: Vec::new() };
         for server in ["s-0", "s-1"] {
@@ -43,7 +42,7 @@
         self.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
-    fn ask(&mut self, at: f64, requests: usize, answers: usize, ending: Ending) {
+    fn add_connection(&mut self, at: f64, requests: usize, answers: usize, ending: Ending) {
         for _ in 0..requests {
             self.at(at, Event::Asked { connection: 7, life: 0 });
         }
@@ -53,8 +52,8 @@
         self.at(at + 0.02, Event::Ended { connection: 7, ending });
     }
 
-    /// What is found where the run goes on until 20 s and the pilot ends as it should.
-    fn found(mut self) -> Vec<Violation> {
+    /// Returns the violations if the run goes on until 20 s and the pilot then exits with status 0.
+    fn violations(mut self) -> Vec<Violation> {
         self.at(20.0, Event::AskedToEnd { life: 0 });
         self.at(20.1, Event::Exited { life: 0, exit: Exit::Status(Some(0)) });
         check(&self.plan, &self.entries)
@@ -62,36 +61,37 @@
 }
 
 #[test]
-fn a_run_without_a_fault_has_no_finding() {
-    let mut record = Record::begun();
-    record.ask(2.0, 3, 3, Ending::Closed);
-    record.ask(3.0, 3, 1, Ending::Reset);
+fn a_correct_run_has_no_violations() {
+    let mut record = Record::started();
+    record.add_connection(2.0, 3, 3, Ending::Closed);
+    record.add_connection(3.0, 3, 1, Ending::Reset);
     record.at(4.0, Event::Closed { server: "s-0".to_string() });
     for proxy in 0..2 {
         record.at(5.0, Event::Holding { proxy, table: table(&["s-1"]), admitted: 1.0 });
     }
-    assert_eq!(record.found(), []);
+    assert_eq!(record.violations(), []);
 }
 
 #[test]
-fn requests_that_were_read_and_not_answered_are_found() {
-    let mut record = Record::begun();
-    record.ask(2.0, 3, 1, Ending::Closed);
-    assert_eq!(record.found(), [Violation::Unanswered { connection: 7, requests: 2 }]);
+fn unanswered_requests_are_found() {
+    let mut record = Record::started();
+    record.add_connection(2.0, 3, 1, Ending::Closed);
+    assert_eq!(record.violations(), [Violation::Unanswered { connection: 7, requests: 2 }]);
 }
 
-/// On real sockets: a pilot that reads a request and closes owes its answer; one that closes unread does not.
+/// A pilot that reads a request and closes the connection has not answered it; if it closes without reading, the
+/// connection is reset and the request does not count. Uses real sockets.
 #[test]
-fn closed_and_reset_connections_are_told_apart() {
+fn closed_and_reset_connections_are_distinguished() {
     for reads in [true, false] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let plan = Plan { pilots: 1, ..Plan::draw(1, 8.0) };
         let shared = Shared::new(plan.clone(), Recorder::start(), vec![listener.local_addr().unwrap()]);
         shared.pilots[0].1.store(0, Ordering::SeqCst);
-        // The fourth of the strangers asks for a sign of life.
+        // The unknown client with number 3 sends a heartbeat.
         let client = std::thread::spawn({
             let shared = shared.clone();
-            move || stranger(shared, 3)
+            move || run_unknown_client(shared, 3)
         });
         let (mut stream, _) = listener.accept().unwrap();
         stream.peek(&mut [0; 64]).unwrap();
@@ -100,9 +100,9 @@
             BufReader::new(&mut stream).read_line(&mut request).unwrap();
         }
         drop(stream);
-        // It dials again once it has seen the end.
+        // It connects again once it has recorded the end of the connection.
         let _again = listener.accept().unwrap();
-        shared.over.store(true, Ordering::SeqCst);
+        shared.finished.store(true, Ordering::SeqCst);
         client.join().unwrap();
         let found = check(&plan, &shared.recorder.take());
         let unanswered = matches!(found[..], [Violation::Unanswered { requests: 1, .. }]);
@@ -110,45 +110,45 @@
     }
 }
 
-/// A kill without notice may take answers with it, and no other end.
+/// Only a kill without a preceding SIGTERM excuses unanswered requests.
 #[test]
-fn a_kill_without_notice_excuses_unanswered_requests() {
+fn a_kill_without_sigterm_excuses_unanswered_requests() {
     for (exit, excused) in [(Exit::KilledUnasked, true), (Exit::Status(Some(0)), false)] {
-        let mut record = Record::begun();
-        record.ask(2.0, 1, 0, Ending::Closed);
+        let mut record = Record::started();
+        record.add_connection(2.0, 1, 0, Ending::Closed);
         record.at(2.5, Event::Exited { life: 0, exit });
         assert_eq!(check(&record.plan, &record.entries).is_empty(), excused);
     }
 }
 
 #[test]
-fn a_proxy_without_a_server_to_go_to_is_found() {
-    let mut record = Record::begun();
-    record.at(2.0, Event::Holding { proxy: 1, table: table(&["s-unheard-of"]), admitted: 1.0 });
+fn a_proxy_without_a_usable_server_is_found() {
+    let mut record = Record::started();
+    record.at(2.0, Event::Holding { proxy: 1, table: table(&["s-unlisted"]), admitted: 1.0 });
     record.at(5.2, Event::Ready { life: 1 });
     record.at(5.4, Event::Ready { life: 1 });
-    let found = record.found();
-    assert!(matches!(found[..], [Violation::NoTable { proxy: 1, .. }]), "{found:?}");
+    let found = record.violations();
+    assert!(matches!(found[..], [Violation::NoUsableServer { proxy: 1, .. }]), "{found:?}");
 }
 
 #[test]
-fn a_table_that_names_a_drained_server_is_found() {
-    let mut record = Record::begun();
+fn a_table_with_a_draining_server_is_found() {
+    let mut record = Record::started();
     record.at(2.0, Event::Closed { server: "s-0".to_string() });
     record.at(2.5, Event::Holding { proxy: 0, table: table(&["s-1"]), admitted: 1.0 });
-    let found = record.found();
+    let found = record.violations();
     assert!(
         matches!(&found[..], [Violation::NotDrained { proxy: 1, server, .. }] if server == "s-0"),
         "{found:?}"
     );
 }
 
-/// With eight servers, one carries 5 requests a second, and bears 2.5 times 0.15 of that as it starts; two proxies
-/// bring 20.
+/// With eight servers, each has a capacity of 5 requests per second; at its start a server bears 2.5 times 0.15 of
+/// that. Two proxies send 20.
 #[test]
-fn a_cold_server_that_is_pushed_over_is_found() {
-    for (admitted, pushed) in [(1.0, true), (0.05, false)] {
-        let mut record = Record::begun();
+fn an_overloaded_cold_server_is_found() {
+    for (admitted, overloaded) in [(1.0, true), (0.05, false)] {
+        let mut record = Record::started();
         record.plan.servers = 8;
         record.at(2.0, Event::Listed { server: "s-2".to_string(), started: 2.0 });
         for proxy in 0..2 {
@@ -156,92 +156,100 @@
         }
         record.at(2.2, Event::Answered { connection: 0 });
         record.at(4.6, Event::Answered { connection: 0 });
-        let found = record.found();
+        let found = record.violations();
         assert_eq!(
-            matches!(&found[..], [Violation::PushedOver { server, .. }] if server == "s-2"),
-            pushed,
+            matches!(&found[..], [Violation::ColdServerOverloaded { server, .. }] if server == "s-2"),
+            overloaded,
             "{found:?}"
         );
-        assert!(pushed || found.is_empty(), "{found:?}");
+        assert!(overloaded || found.is_empty(), "{found:?}");
     }
 }
 
 #[test]
-fn ends_other_than_0_hangs_and_ends_unbidden_are_found() {
+fn unexpected_exits_are_found() {
     for exit in [Exit::Status(Some(1)), Exit::Status(None), Exit::KilledLate, Exit::Unbidden] {
-        let mut record = Record::begun();
+        let mut record = Record::started();
         record.at(2.0, Event::Exited { life: 0, exit });
         let found = check(&record.plan, &record.entries);
-        assert_eq!(found, [Violation::WrongExit { life: 0, exit }]);
+        assert_eq!(found, [Violation::UnexpectedExit { process: 0, exit }]);
     }
 }
 
 #[test]
 fn a_process_that_is_never_ready_is_found() {
-    let mut record = Record::begun();
+    let mut record = Record::started();
     record.at(2.0, Event::Started { life: 1 });
-    assert_eq!(record.found(), [Violation::NotReady { life: 1 }]);
+    assert_eq!(record.violations(), [Violation::NotReady { process: 1 }]);
 }
 
 #[test]
 fn a_panic_is_found() {
-    let mut record = Record::begun();
+    let mut record = Record::started();
     let line = "thread 'main' panicked at src/main.rs".to_string();
     record.at(2.0, Event::Panicked { life: 0, line: line.clone() });
-    assert_eq!(record.found(), [Violation::Panicked { life: 0, line }]);
+    assert_eq!(record.violations(), [Violation::Panicked { process: 0, line }]);
 }
 
 #[test]
-fn memory_and_descriptors_that_grow_or_are_too_many_are_found() {
-    let held = |memory: fn(u64) -> u64, descriptors: fn(u64) -> u64| {
-        let mut record = Record::begun();
+fn growth_and_exceeded_limits_of_memory_and_descriptors_are_found() {
+    let found = |memory: fn(u64) -> u64, descriptors: fn(u64) -> u64| {
+        let mut record = Record::started();
         for second in 0..80 {
             let (memory, descriptors) = (memory(second), descriptors(second));
             record.at(second as f64, Event::Holds { life: 0, memory, descriptors });
         }
         check(&record.plan, &record.entries)
     };
-    assert_eq!(held(|_| 4000, |second| 20 + second % 7), []);
-    assert!(matches!(held(|second| 4000 + 100 * second, |_| 20)[..], [Violation::Grows { life: 0, .. }]));
-    assert!(matches!(held(|_| 4000, |second| 20 + second / 2)[..], [Violation::Grows { life: 0, .. }]));
-    assert!(matches!(held(|_| 70_000, |_| 20)[..], [Violation::OverLimit { .. }, ..]));
-    assert!(matches!(held(|_| 4000, |_| 900)[..], [Violation::OverLimit { .. }, ..]));
+    assert_eq!(found(|_| 4000, |second| 20 + second % 7), []);
+    assert!(matches!(
+        found(|second| 4000 + 100 * second, |_| 20)[..],
+        [Violation::ResourceGrowth { process: 0, .. }]
+    ));
+    assert!(matches!(
+        found(|_| 4000, |second| 20 + second / 2)[..],
+        [Violation::ResourceGrowth { process: 0, .. }]
+    ));
+    assert!(matches!(found(|_| 70_000, |_| 20)[..], [Violation::LimitExceeded { .. }, ..]));
+    assert!(matches!(found(|_| 4000, |_| 900)[..], [Violation::LimitExceeded { .. }, ..]));
 }
 
-fn soaked(arguments: &[&str]) -> (Option<i32>, String) {
-    let played =
+/// Runs the `soak` command; returns its exit status and output.
+fn run_soak(arguments: &[&str]) -> (Option<i32>, String) {
+    let finished =
         Command::new(env!("CARGO_BIN_EXE_oatlever-standins")).arg("soak").args(arguments).output().unwrap();
-    let said = String::from_utf8_lossy(&played.stdout) + String::from_utf8_lossy(&played.stderr);
-    (played.status.code(), said.into_owned())
+    let output = String::from_utf8_lossy(&finished.stdout) + String::from_utf8_lossy(&finished.stderr);
+    (finished.status.code(), output.into_owned())
 }
 
-/// Half a minute of the soak; the long one is played by hand.
+/// Half a minute of the soak; longer ones are run by hand.
 #[test]
-fn seeded_runs_of_restarts_keep_their_promises() {
-    let (status, said) = soaked(&["--runs", "6", "--seconds", "9", "--at-once", "2"]);
-    assert_eq!(status, Some(0), "{said}");
+fn seeded_restarts_have_no_violations() {
+    let (status, output) = run_soak(&["--runs", "6", "--seconds", "9", "--at-once", "2"]);
+    assert_eq!(status, Some(0), "{output}");
 }
 
-/// The same on DNS and on both variants of xDS.
+/// The same over DNS and over both variants of xDS.
 #[test]
-fn seeded_days_of_restarts_keep_the_rules() {
-    let (status, said) = soaked(&["--front", "all", "--runs", "2", "--seconds", "10", "--at-once", "2"]);
-    assert_eq!(status, Some(0), "{said}");
+fn seeded_restarts_over_dns_and_xds_keep_the_rules() {
+    let (status, output) = run_soak(&["--front", "all", "--runs", "2", "--seconds", "10", "--at-once", "2"]);
+    assert_eq!(status, Some(0), "{output}");
 }
 
-/// A pilot that ends with another status than 0 when it is asked to fails the day, which is told with its command.
+/// A day fails if its pilot exits after SIGTERM with a status other than 0. The output contains the command to repeat
+/// it.
 #[cfg(unix)]
 #[test]
-fn a_day_whose_pilot_ends_badly_fails() {
+fn a_day_fails_if_its_pilot_exits_with_an_error() {
     use std::os::unix::fs::PermissionsExt;
     let pilot = Path::new(env!("CARGO_BIN_EXE_oatlever-standins")).with_file_name("oatlever");
     let wrapped = std::env::temp_dir().join(format!("oatlever-soak-bad-{}", std::process::id()));
-    // Of a command in the background, a shell makes standard input /dev/null before it is redirected.
+    // The shell redirects standard input of a background command from /dev/null, so it is duplicated first.
     let script =
         format!("#!/bin/sh\ntrap 'exit 3' TERM\nexec 3<&0\n{} \"$@\" <&3 &\nwait\n", pilot.display());
     std::fs::write(&wrapped, script).unwrap();
     std::fs::set_permissions(&wrapped, std::fs::Permissions::from_mode(0o755)).unwrap();
-    let (status, said) = soaked(&[
+    let (status, output) = run_soak(&[
         "--front",
         "dns",
         "--realm",
@@ -254,6 +262,6 @@
         wrapped.to_str().unwrap(),
     ]);
     std::fs::remove_file(&wrapped).unwrap();
-    assert_eq!(status, Some(1), "{said}");
-    assert!(said.contains("a day ended with exit status: 2") && said.contains("again: "), "{said}");
+    assert_eq!(status, Some(1), "{output}");
+    assert!(output.contains("a day ended with exit status: 2") && output.contains("again: "), "{output}");
 }
