--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Rounds at the size of a fleet.
+//! Duration of decision rounds and memory by the size of the fleet.
 
 use oatlever::balance::Balancer;
 use oatlever::round::{
@@ -10,13 +10,15 @@
 
 pub const ZONES: u16 = 3;
 const CLASSES: usize = 3;
-const HOLD: f64 = 1.5;
+/// Seconds for which an asker may use a table after it was handed out.
+const HOLD_TIME: f64 = 1.5;
 
 pub fn server(n: u16) -> Address {
     let [high, low] = n.to_be_bytes();
     Address { host: [10, 0, high, low], port: 7000 }
 }
 
+/// A balancer with its tables, and synthetic input for it.
 pub struct Fleet {
     balancer: Balancer,
     pub tables: Tables,
@@ -24,7 +26,7 @@
     proxies: u16,
     now: f64,
     rounds: u64,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl Fleet {
@@ -49,7 +51,7 @@
             header_lines: 0.0,
             most_messages: 0,
             window: 10.0,
-            longest_way: HOLD,
+            longest_way: HOLD_TIME,
         };
         let rules = Rules {
             ask_within: 10.0,
@@ -59,7 +61,7 @@
             gone_does_not_bind: true,
         };
         let class = QueryClass { benefit: 1.0, due_time: 1.0 };
-        let pull = Pull::new(&vec![Kind::Host; usize::from(proxies)], CLASSES, HOLD, 1000.0);
+        let pull = Pull::new(&vec![Kind::Host; usize::from(proxies)], CLASSES, HOLD_TIME, 1000.0);
         let mut fleet = Fleet {
             balancer: Balancer::new(site, vec![class; CLASSES], channel, rules, 7),
             tables: Tables::new(usize::from(proxies), CLASSES, pull, 2000),
@@ -67,7 +69,7 @@
             proxies,
             now: 1000.0,
             rounds: 0,
-            chance: fastrand::Rng::with_seed(7),
+            rng: fastrand::Rng::with_seed(7),
         };
         let streams = (0..proxies).map(|proxy| Stream { proxy, up: true, zone: proxy % ZONES, rate: 5.0 });
         let round = Round { lists: vec![fleet.list()], streams: streams.collect(), ..Round::default() };
@@ -87,55 +89,55 @@
         List { kind: ListKind::Full, entries: (0..self.servers).map(entry).collect() }
     }
 
-    /// A second's news: reports of all proxies and servers, and the list once more.
-    pub fn news(&mut self) -> Round {
+    /// Returns the input of one second: reports of all proxies and servers, and the full server list.
+    pub fn reports(&mut self) -> Round {
         let mut round = Round { lists: vec![self.list()], ..Round::default() };
         for n in 0..self.servers {
-            let time = 0.1 * (0.5 + self.chance.f64() * if n % 10 == 0 { 4.0 } else { 1.0 });
+            let time = 0.1 * (0.5 + self.rng.f64() * if n % 10 == 0 { 4.0 } else { 1.0 });
             for zone in 0..ZONES {
                 round.tries.push(Tries { server: server(n), zone, tries: 5.0, failed: 0.0, time, span: 1.0 });
             }
         }
         for proxy in 0..self.proxies {
-            let came = 2.0 * self.chance.f64();
-            let queries = |class| ProxyQueries { proxy, class, received: came, span: 1.0 };
+            let received = 2.0 * self.rng.f64();
+            let queries = |class| ProxyQueries { proxy, class, received, span: 1.0 };
             round.queries.extend((0..CLASSES as u8).map(queries));
         }
         round
     }
 
-    /// Seconds that the round took, tables and books with it.
+    /// Runs a round, including the update of tables and bookkeeping; returns its duration in seconds.
     pub fn round(&mut self, mut round: Round) -> f64 {
         self.rounds += 1;
-        let begun = Instant::now();
+        let start = Instant::now();
         round.now = self.now;
         round.acknowledgements = self.tables.acknowledgements(self.now);
         self.tables.open(self.now, self.rounds, News::of(&round));
         self.balancer.round(&round, &mut self.tables);
         self.tables.close();
-        begun.elapsed().as_secs_f64()
+        start.elapsed().as_secs_f64()
     }
 
-    /// A second passes: everybody asks, reports come, and three beats.
+    /// Simulates one second: every asker queries, a round with all reports, and three timer rounds. Returns the
+    /// duration of each round.
     pub fn second(&mut self) -> Vec<f64> {
         for asker in 0..self.proxies {
             for class in 0..CLASSES as u16 {
                 self.tables.hand_out(asker, class, self.now);
             }
         }
-        let news = self.news();
-        let mut took = vec![self.round(news)];
+        let reports = self.reports();
+        let mut durations = vec![self.round(reports)];
         for _ in 0..3 {
             self.now += 0.25;
-            took.push(self.round(Round { timers: vec![0], ..Round::default() }));
+            durations.push(self.round(Round { timers: vec![0], ..Round::default() }));
         }
         self.now += 0.25;
-        took
+        durations
     }
 }
 
-/// KiB of memory that this process holds.
-/// KiB that this process holds.
+/// Returns the resident memory of this process in KiB.
 pub fn memory() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
@@ -143,26 +145,29 @@
 }
 
 pub fn measure() {
-    println!("servers  proxies  full round ms: median  99th  longest   beat ms: median  longest   MiB more");
+    println!(
+        "servers  proxies  full round ms: median  99th  longest  timer round ms: median  longest   MiB more"
+    );
     for (servers, proxies) in [(24, 12), (90, 120), (175, 240), (350, 480), (700, 960)] {
         let before = memory();
         let mut fleet = Fleet::new(servers, proxies);
-        let (mut full, mut beats) = (Vec::new(), Vec::new());
+        let (mut full, mut timer) = (Vec::new(), Vec::new());
         for _ in 0..120 {
-            let took = fleet.second();
-            full.push(took[0] * 1e3);
-            beats.extend(took[1..].iter().map(|t| t * 1e3));
+            let durations = fleet.second();
+            full.push(durations[0] * 1e3);
+            timer.extend(durations[1..].iter().map(|t| t * 1e3));
         }
         full.sort_by(f64::total_cmp);
-        beats.sort_by(f64::total_cmp);
-        let at = |times: &[f64], part: f64| times[((times.len() - 1) as f64 * part) as usize];
+        timer.sort_by(f64::total_cmp);
+        let quantile_of =
+            |times: &[f64], quantile: f64| times[((times.len() - 1) as f64 * quantile) as usize];
         println!(
-            "{servers:7} {proxies:8} {:22.3} {:6.3} {:8.3} {:17.3} {:8.3} {:10.1}",
-            at(&full, 0.5),
-            at(&full, 0.99),
-            at(&full, 1.0),
-            at(&beats, 0.5),
-            at(&beats, 1.0),
+            "{servers:7} {proxies:8} {:22.3} {:6.3} {:8.3} {:23.3} {:8.3} {:10.1}",
+            quantile_of(&full, 0.5),
+            quantile_of(&full, 0.99),
+            quantile_of(&full, 1.0),
+            quantile_of(&timer, 0.5),
+            quantile_of(&timer, 1.0),
             (memory() - before) / 1024.0
         );
     }
--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -1,4 +1,5 @@
-//! The DNS front beside a bare UDP echo: one serving thread each, the same clients.
+//! Throughput and latency of the DNS front, compared with a bare UDP echo server. Each runs on one thread, under the
+//! same load.
 
 use crate::fleet::{server, Fleet};
 use async_io::Async;
@@ -14,20 +15,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Questions under way at once, by client.
+/// Number of client threads.
 const CLIENTS: usize = 2;
-const UNDER_WAY: usize = 16;
+/// Number of concurrent queries of each client.
+const IN_FLIGHT: usize = 16;
 
-/// Askers that ask at random, where a ledger is kept.
+/// Number of askers, from which each query's is drawn at random.
 const ASKERS: u32 = 20_000;
 
-struct Book {
+struct Answers {
     fleet: Fleet,
     handout: Handout,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
-impl Desk for Book {
+impl Desk for Answers {
     fn asks(&mut self, asker: u16, class: u16, now: f64) -> Option<View<'_>> {
         self.fleet.tables.hand_out(asker, class, now);
         self.fleet.tables.held(asker, class)
@@ -35,10 +37,10 @@
     fn addresses(&mut self, asker: u16, class: u16, _: Ipv4Addr, most: usize, now: f64) -> Option<Answer> {
         self.fleet.tables.hand_out(asker, class, now);
         let view = self.fleet.tables.held(asker, class)?;
-        let chance = &mut self.chance;
-        let host = Ipv4Addr::from(0x0a00_0000 + chance.u32(..ASKERS));
+        let rng = &mut self.rng;
+        let host = Ipv4Addr::from(0x0a00_0000 + rng.u32(..ASKERS));
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
-        self.handout.answer(&view, Who { host, class, group: 100.0 }, most, zone, now, || chance.f64())
+        self.handout.answer(&view, Who { host, class, group: 100.0 }, most, zone, now, || rng.f64())
     }
     fn knows(&self, _: Ipv4Addr) -> bool {
         true
@@ -48,16 +50,16 @@
     }
 }
 
-struct Served {
+struct Service {
     front: RefCell<Front>,
-    book: RefCell<Book>,
-    began: Instant,
+    answers: RefCell<Answers>,
+    start: Instant,
 }
 
-impl Handler for Served {
+impl Handler for Service {
     fn answer(&self, packet: &[u8], source: SocketAddr, via: Via) -> Option<Vec<u8>> {
-        let now = 1000.0 + self.began.elapsed().as_secs_f64();
-        self.front.borrow_mut().answer(&mut *self.book.borrow_mut(), packet, source, via, now)
+        let now = 1000.0 + self.start.elapsed().as_secs_f64();
+        self.front.borrow_mut().answer(&mut *self.answers.borrow_mut(), packet, source, via, now)
     }
 }
 
@@ -77,11 +79,11 @@
                            "connections": 64, "connections_each": 8, "idle": 1.0}},
         "status": {"listen": "127.0.0.1:0", "away_after": 5}
     });
-    oatlever_settings::read(&text.to_string()).expect("right settings")
+    oatlever_settings::read(&text.to_string()).expect("valid settings")
 }
 
-/// A question with EDNS for 1,232 bytes.
-fn question(name: &str, kind: u16) -> Vec<u8> {
+/// Encodes a DNS query with an EDNS payload size of 1,232 bytes.
+fn encode_query(name: &str, kind: u16) -> Vec<u8> {
     let mut packet = vec![0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 1];
     for label in name.split('.') {
         packet.push(label.len() as u8);
@@ -94,9 +96,10 @@
     packet
 }
 
-/// Answers a second, and their times in us: median and 99th percentile.
+/// Sends queries to a server for some seconds. Returns answers per second, the median and the 99th percentile of the
+/// latency in us, and the size of an answer.
 fn load(to: SocketAddr, packet: &[u8], seconds: f64) -> (f64, u64, u64, usize) {
-    let work = |_| {
+    let client = |_| {
         let packet = packet.to_vec();
         std::thread::spawn(move || {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -112,7 +115,7 @@
                 socket.send(&packet).expect("sent");
             };
             let until = Instant::now() + Duration::from_secs_f64(seconds);
-            (0..UNDER_WAY).for_each(|_| send(&mut sent));
+            (0..IN_FLIGHT).for_each(|_| send(&mut sent));
             while Instant::now() < until {
                 match socket.recv(&mut answer) {
                     Ok(length) => {
@@ -121,47 +124,49 @@
                         times.record(sent[id].elapsed().as_micros() as u64).expect("recorded");
                         send(&mut sent);
                     }
-                    Err(_) => (0..UNDER_WAY).for_each(|_| send(&mut sent)),
+                    Err(_) => (0..IN_FLIGHT).for_each(|_| send(&mut sent)),
                 }
             }
             (times, size)
         })
     };
-    let threads: Vec<_> = (0..CLIENTS).map(work).collect();
-    let (mut all, mut size) = (Histogram::<u64>::new(3).expect("a histogram"), 0);
+    let threads: Vec<_> = (0..CLIENTS).map(client).collect();
+    let (mut total, mut size) = (Histogram::<u64>::new(3).expect("a histogram"), 0);
     for thread in threads {
         let (times, length) = thread.join().expect("a client");
-        all.add(times).expect("added");
+        total.add(times).expect("added");
         size = length;
     }
-    (all.len() as f64 / seconds, all.value_at_quantile(0.5), all.value_at_quantile(0.99), size)
+    (total.len() as f64 / seconds, total.value_at_quantile(0.5), total.value_at_quantile(0.99), size)
 }
 
-/// What is kept of handed-out addresses.
+/// How addresses for A answers are chosen.
 #[derive(Clone, Copy)]
-enum Kept {
-    Nothing,
+enum Selection {
+    /// By weight, without a ledger.
+    ByWeight,
+    /// With a ledger of handed-out addresses.
     Ledger,
-    /// With so many servers cold.
+    /// With a ledger and this many cold servers.
     Cold(u16),
 }
 
-impl Kept {
+impl Selection {
     fn handout(self) -> Handout {
         let lives = Lives { long: 1, short: 1, overstay: 0.5 };
         let mut handout = Handout::new(lives, 65_536, (1, 2), 0.0);
         match self {
-            Kept::Nothing => return Handout::plain(lives),
-            Kept::Ledger => {}
-            Kept::Cold(count) => handout.spare((0..count).map(|n| (server(n), 20.0)).collect(), 0.0),
+            Selection::ByWeight => return Handout::plain(lives),
+            Selection::Ledger => {}
+            Selection::Cold(count) => handout.spare((0..count).map(|n| (server(n), 20.0)).collect(), 0.0),
         }
         (0..ASKERS).for_each(|n| handout.hosts.count(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
         handout
     }
 }
 
-/// A server on a thread of its own, for the life of the process.
-fn serve(echo: bool, servers: u16, kept: Kept) -> SocketAddr {
+/// Starts a server on its own thread, which runs until the process ends.
+fn serve(echo: bool, servers: u16, selection: Selection) -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let host = socket.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -178,43 +183,44 @@
         let settings = settings();
         let mut prefixes = Prefixes::default();
         prefixes.insert(Ipv4Addr::new(127, 0, 0, 0), 8, 0);
-        let served = Served {
+        let service = Service {
             front: RefCell::new(Front::new(&settings, Rc::new(prefixes), 1).expect("a front")),
-            book: RefCell::new(Book {
+            answers: RefCell::new(Answers {
                 fleet: Fleet::new(servers, 12),
-                handout: kept.handout(),
-                chance: fastrand::Rng::with_seed(2),
+                handout: selection.handout(),
+                rng: fastrand::Rng::with_seed(2),
             }),
-            began: Instant::now(),
+            start: Instant::now(),
         };
-        let _ = async_io::block_on(serve_udp(socket, Rc::new(served)));
+        let _ = async_io::block_on(serve_udp(socket, Rc::new(service)));
     });
     host
 }
 
 pub fn measure(seconds: f64) {
     println!("{:34} {:>10} {:>8} {:>8} {:>8} {:>8}", "", "answers/s", "of echo", "p50 us", "p99 us", "bytes");
-    let services = question("_search._tcp.shops.test", 33);
-    let addresses = question("search.shops.test", 1);
-    let none = question("nothing.shops.test", 1);
+    let srv = encode_query("_search._tcp.shops.test", 33);
+    let a = encode_query("search.shops.test", 1);
+    let unknown = encode_query("nothing.shops.test", 1);
     let cases = [
-        ("SRV, 8 servers and addresses", 8, &services, Kept::Nothing),
-        ("SRV, 24 servers", 24, &services, Kept::Nothing),
-        ("A, 4 of 24 servers drawn", 24, &addresses, Kept::Nothing),
-        ("the same with the ledger", 24, &addresses, Kept::Ledger),
-        ("the same with 3 servers cold", 24, &addresses, Kept::Cold(3)),
-        ("A, 4 of 300 servers drawn", 300, &addresses, Kept::Nothing),
-        ("the same with the ledger", 300, &addresses, Kept::Ledger),
-        ("the same with 40 servers cold", 300, &addresses, Kept::Cold(40)),
-        ("no such name", 24, &none, Kept::Nothing),
+        ("SRV, 8 servers and addresses", 8, &srv, Selection::ByWeight),
+        ("SRV, 24 servers", 24, &srv, Selection::ByWeight),
+        ("A, 4 of 24 servers drawn", 24, &a, Selection::ByWeight),
+        ("the same with the ledger", 24, &a, Selection::Ledger),
+        ("the same with 3 servers cold", 24, &a, Selection::Cold(3)),
+        ("A, 4 of 300 servers drawn", 300, &a, Selection::ByWeight),
+        ("the same with the ledger", 300, &a, Selection::Ledger),
+        ("the same with 40 servers cold", 300, &a, Selection::Cold(40)),
+        ("no such name", 24, &unknown, Selection::ByWeight),
     ];
-    for (what, servers, packet, kept) in cases {
-        let (bare, front) = (serve(true, 0, kept), serve(false, servers, kept));
-        load(bare, packet, 0.2);
+    for (name, servers, packet, selection) in cases {
+        let (echo, front) = (serve(true, 0, selection), serve(false, servers, selection));
+        // Warm up both.
+        load(echo, packet, 0.2);
         load(front, packet, 0.2);
-        let (echo, median, late, size) = load(bare, packet, seconds);
-        println!("{:34} {echo:10.0} {:8.2} {median:8} {late:8} {size:8}", "bare echo of the question", 1.0);
-        let (answers, median, late, size) = load(front, packet, seconds);
-        println!("{what:34} {answers:10.0} {:8.2} {median:8} {late:8} {size:8}", answers / echo);
+        let (echoes, median, p99, size) = load(echo, packet, seconds);
+        println!("{:34} {echoes:10.0} {:8.2} {median:8} {p99:8} {size:8}", "bare echo of the query", 1.0);
+        let (answers, median, p99, size) = load(front, packet, seconds);
+        println!("{name:34} {answers:10.0} {:8.2} {median:8} {p99:8} {size:8}", answers / echoes);
     }
 }
--- a/benches/src/ledgers.rs
+++ b/benches/src/ledgers.rs
@@ -1,4 +1,5 @@
-//! The ledger of handed-out addresses beside plain maps that remember every hold: time and memory by askers.
+//! Time and memory of the ledger of handed-out addresses, compared with maps that store every handout, by the number of
+//! askers.
 
 use crate::fleet::{memory, server};
 use oatlever::round::Address;
@@ -9,22 +10,26 @@
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
-/// Askers that the ledger remembers.
-const MOST: usize = 65_536;
+/// Maximum number of askers in the ledger.
+const MAX_ASKERS: usize = 65_536;
 const SERVERS: u16 = 300;
-/// Addresses in an answer, and how long it is held, s.
+/// Addresses per answer.
 const ADDRESSES: u16 = 4;
-const HELD: f64 = 1.5;
+/// Seconds for which an answer is used.
+const HOLD_TIME: f64 = 1.5;
 const CALLS: u32 = 400_000;
 
-/// Every hold by asker and server, and by server in the order in which they run out.
+/// A ledger that stores every handout.
 #[derive(Default)]
-struct Plain {
+struct MapLedger {
+    /// Expiry and weight by asker and server.
     askers: HashMap<Ipv4Addr, HashMap<Address, (f64, f64)>>,
+    /// Total weight and handouts in order of expiry, by server.
     servers: BTreeMap<Address, (f64, BTreeSet<(u64, Ipv4Addr)>)>,
 }
 
-impl Plain {
+impl MapLedger {
+    /// Stores the handout of some servers to an asker until a given time.
     fn hand(
         &mut self,
         host: Ipv4Addr,
@@ -35,24 +40,25 @@
     ) {
         for server in servers {
             self.outstanding(&server, now);
-            let held = self.askers.entry(host).or_default().insert(server, (until, weight));
-            let (sum, ends) = self.servers.entry(server).or_default();
-            if let Some((old, weight)) = held.filter(|(old, _)| ends.remove(&(old.to_bits(), host))) {
+            let previous = self.askers.entry(host).or_default().insert(server, (until, weight));
+            let (sum, expiries) = self.servers.entry(server).or_default();
+            if let Some((old, weight)) = previous.filter(|(old, _)| expiries.remove(&(old.to_bits(), host))) {
                 debug_assert!(old > 0.0);
                 *sum -= weight;
             }
-            ends.insert((until.to_bits(), host));
+            expiries.insert((until.to_bits(), host));
             *sum += weight;
         }
     }
 
+    /// Returns the weight of unexpired handouts of a server.
     fn outstanding(&mut self, server: &Address, now: f64) -> f64 {
-        let Some((sum, ends)) = self.servers.get_mut(server) else { return 0.0 };
+        let Some((sum, expiries)) = self.servers.get_mut(server) else { return 0.0 };
         while let Some((until, host)) =
-            ends.first().copied().filter(|(until, _)| f64::from_bits(*until) <= now)
+            expiries.first().copied().filter(|(until, _)| f64::from_bits(*until) <= now)
         {
-            ends.pop_first();
-            if let Some((_, weight)) = self.askers.get_mut(&host).and_then(|holds| holds.remove(server)) {
+            expiries.pop_first();
+            if let Some((_, weight)) = self.askers.get_mut(&host).and_then(|held| held.remove(server)) {
                 *sum -= weight;
             }
             debug_assert!(until > 0);
@@ -61,16 +67,16 @@
     }
 }
 
-/// Nanoseconds a call, and KiB more than before.
-fn measured<T>(mut kept: T, mut call: impl FnMut(&mut T, u32)) -> (f64, f64) {
+/// Calls `call` repeatedly. Returns nanoseconds per call and the growth of the process in KiB.
+fn time_and_memory<T>(mut state: T, mut call: impl FnMut(&mut T, u32)) -> (f64, f64) {
     let before = memory();
-    let begun = Instant::now();
-    (0..CALLS).for_each(|n| call(&mut kept, n));
-    let took = begun.elapsed().as_secs_f64() * 1e9 / f64::from(CALLS);
-    let more = memory() - before;
-    // Kept, so that what comes next does not get its memory.
-    std::mem::forget(kept);
-    (took, more)
+    let start = Instant::now();
+    (0..CALLS).for_each(|n| call(&mut state, n));
+    let time = start.elapsed().as_secs_f64() * 1e9 / f64::from(CALLS);
+    let growth = memory() - before;
+    // Leaked, so that the next measurement can't reuse its memory.
+    std::mem::forget(state);
+    (time, growth)
 }
 
 pub fn measure() {
@@ -79,37 +85,40 @@
         "", "askers", "ns, ours", "plain", "ratio", "KiB, ours", "plain"
     );
     for askers in [1_000, 100_000, 1_000_000] {
-        // 20,000 answers a second.
-        let ask = |n: u32| {
-            let mut chance = fastrand::Rng::with_seed(u64::from(n));
-            let host = Ipv4Addr::from(0x0a00_0000 + chance.u32(..askers));
-            let from = chance.u16(..SERVERS);
-            (host, (0..ADDRESSES).map(move |k| server((from + k) % SERVERS)), 100.0 + f64::from(n) / 20_000.0)
+        // 20,000 answers per second.
+        let query = |n: u32| {
+            let mut rng = fastrand::Rng::with_seed(u64::from(n));
+            let host = Ipv4Addr::from(0x0a00_0000 + rng.u32(..askers));
+            let first = rng.u16(..SERVERS);
+            let servers = (0..ADDRESSES).map(move |k| server((first + k) % SERVERS));
+            (host, servers, 100.0 + f64::from(n) / 20_000.0)
         };
-        let ours = measured(Ledger::new(MOST, (1, 2)), |ledger, n| {
-            let (host, servers, now) = ask(n);
-            ledger.hand((host, 0), 1.0, servers.clone(), (now, HELD), now);
+        let ours = time_and_memory(Ledger::new(MAX_ASKERS, (1, 2)), |ledger, n| {
+            let (host, servers, now) = query(n);
+            ledger.hand((host, 0), 1.0, servers.clone(), (now, HOLD_TIME), now);
             servers.for_each(|server| _ = black_box(ledger.outstanding(&server, now)));
         });
-        let plain = measured(Plain::default(), |plain, n| {
-            let (host, servers, now) = ask(n);
-            plain.hand(host, 1.0, servers.clone(), now + HELD, now);
+        let plain = time_and_memory(MapLedger::default(), |plain, n| {
+            let (host, servers, now) = query(n);
+            plain.hand(host, 1.0, servers.clone(), now + HOLD_TIME, now);
             servers.for_each(|server| _ = black_box(plain.outstanding(&server, now)));
         });
         row("an answer of four and its load", askers, ours, plain);
-        let count =
+        let host =
             |n: u32| Ipv4Addr::from(0x0a00_0000 + fastrand::Rng::with_seed(u64::from(n)).u32(..askers));
-        let ours =
-            measured(Hosts::new(MOST), |hosts, n| hosts.count(count(n), 0, 1.0, f64::from(n) / 20_000.0));
-        let plain =
-            measured(HashMap::<Ipv4Addr, f64>::new(), |map, n| *map.entry(count(n)).or_default() += 1.0);
+        let ours = time_and_memory(Hosts::new(MAX_ASKERS), |hosts, n| {
+            hosts.count(host(n), 0, 1.0, f64::from(n) / 20_000.0)
+        });
+        let plain = time_and_memory(HashMap::<Ipv4Addr, f64>::new(), |map, n| {
+            *map.entry(host(n)).or_default() += 1.0
+        });
         row("a count of an asker's queries", askers, ours, plain);
     }
-    choices();
+    measure_selection();
 }
 
-/// Nanoseconds to choose an answer's addresses, without a ledger and with one.
-fn choices() {
+/// Measures the selection of an answer's addresses without a ledger, with one, and with one and cold servers.
+fn measure_selection() {
     println!(
         "\nns to choose four addresses   servers   drawn by weight   with the ledger   with a tenth cold"
     );
@@ -117,22 +126,22 @@
         let index = Index::of((0..servers).map(|n| (server(n), 1.0 + f64::from(n % 5))));
         let view = View { table: 0, version: 1, index: &index, level: 1.0, tries: 0 };
         let lives = Lives { long: 1, short: 1, overstay: 0.5 };
-        let took = |mut handout: Handout, cold: u16| {
+        let time = |mut handout: Handout, cold: u16| {
             handout.spare((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
-            let mut chance = fastrand::Rng::with_seed(1);
+            let mut rng = fastrand::Rng::with_seed(1);
             let host = |n: u32| Ipv4Addr::from(0x0a00_0000 + n % 20_000);
             (0..20_000).for_each(|n| handout.hosts.count(host(n), 0, 5.0, 100.0));
-            measured(handout, |handout, n| {
+            time_and_memory(handout, |handout, n| {
                 let who = Who { host: host(n * 7919), class: 0, group: 100.0 };
                 let zone = |server: &Address| Some(u16::from(server.host[3] % 3));
                 let now = 100.0 + f64::from(n) / 20_000.0;
-                black_box(handout.answer(&view, who, 4, zone, now, || chance.f64()));
+                black_box(handout.answer(&view, who, 4, zone, now, || rng.f64()));
             })
             .0
         };
-        let kept = || Handout::new(lives, MOST, (1, 2), 0.0);
+        let with_ledger = || Handout::new(lives, MAX_ASKERS, (1, 2), 0.0);
         let (plain, ledger, cold) =
-            (took(Handout::plain(lives), 0), took(kept(), 0), took(kept(), servers / 10));
+            (time(Handout::plain(lives), 0), time(with_ledger(), 0), time(with_ledger(), servers / 10));
         println!("{servers:39} {plain:17.0} {ledger:17.0} {cold:19.0}");
     }
 }
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -1,4 +1,5 @@
-//! `oatlever-benches`: figures for `docs/measurements.md`, ratios side by side in one run.
+//! `oatlever-benches` measures parts of oatlever. Implementations that are compared are measured in the same run. The
+//! results are in `docs/measurements.md`.
 
 mod fleet;
 mod front;
@@ -14,39 +15,39 @@
 #[command(name = "oatlever-benches", about = "Measurements of oatlever's parts")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// DNS answers a second and their time, beside a bare UDP echo.
+enum Benchmark {
+    /// DNS answers per second and their latency, compared with a bare UDP echo.
     Dns {
-        /// s for each of the two, each time.
+        /// Duration of each measurement, in seconds.
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
     },
-    /// A round of decisions and what tables, books and memory cost, by size.
+    /// Duration of decision rounds with table updates, and memory, by the size of the fleet.
     Rounds,
-    /// From an order to the last ACK on xDS streams, and bytes a change, by variant and number.
+    /// Time from a table change to the last ACK on xDS streams, and bytes per change, by variant and number of proxies.
     Streams,
-    /// A verdict of the guard, by size and change; its index beside a recount.
+    /// Duration of a guard verdict, by the size of the fleet and of the change; its load index compared with a recount.
     Verdicts,
-    /// The ledger of handed-out addresses beside plain maps: time and memory by askers.
+    /// Time and memory of the ledger of handed-out addresses, compared with plain maps, by the number of askers.
     Ledgers,
-    /// A plan by size: anew, after a change, where not all fits.
+    /// Duration of planning by size: from scratch, after a change, and with more demand than capacity.
     Plans,
-    /// Our structures beside plain ones.
+    /// Data structures compared with simple implementations.
     Structures,
 }
 
 fn main() {
-    match Arguments::parse().what {
-        What::Dns { seconds } => front::measure(seconds),
-        What::Rounds => fleet::measure(),
-        What::Streams => streams::measure(),
-        What::Verdicts => verdicts::measure(),
-        What::Ledgers => ledgers::measure(),
-        What::Plans => plans::measure(),
-        What::Structures => structures::measure(),
+    match Arguments::parse().benchmark {
+        Benchmark::Dns { seconds } => front::measure(seconds),
+        Benchmark::Rounds => fleet::measure(),
+        Benchmark::Streams => streams::measure(),
+        Benchmark::Verdicts => verdicts::measure(),
+        Benchmark::Ledgers => ledgers::measure(),
+        Benchmark::Plans => plans::measure(),
+        Benchmark::Structures => structures::measure(),
     }
 }
--- a/benches/src/plans.rs
+++ b/benches/src/plans.rs
@@ -1,19 +1,20 @@
-//! What a plan costs, by the size of the fleet, and how far from the best possible it is at most.
+//! Duration of planning by the size of the fleet, and the largest gap between a plan and the optimum.
 
 use oatlever_cost::{plan, Class, Link, Model, Pool, Steady};
 use std::time::Instant;
 
-/// s
-const PATIENCE: f64 = 60.0;
+/// Time limit of the planner, in seconds.
+const TIME_LIMIT: f64 = 60.0;
 
-const PLANS: usize = 20;
+/// Number of models for each size.
+const MODELS: usize = 20;
 
-/// Zones with some prices each, twice the room that is asked for.
-fn model(chance: &mut fastrand::Rng, zones: usize, prices: usize, classes: usize) -> Model {
+/// Returns a model with random demand, `prices` pools per zone and twice the capacity needed.
+fn model(rng: &mut fastrand::Rng, zones: usize, prices: usize, classes: usize) -> Model {
     let class =
         |n: usize| Class { name: n.to_string(), work: 0.2 + 0.1 * n as f64, benefit: 1.0, reach: None };
     let classes: Vec<Class> = (0..classes).map(class).collect();
-    let mut demand = || classes.iter().map(|_| 50.0 + 100.0 * chance.f64()).collect::<Vec<f64>>();
+    let mut demand = || classes.iter().map(|_| 50.0 + 100.0 * rng.f64()).collect::<Vec<f64>>();
     let demand: Vec<Vec<f64>> = (0..zones).map(|_| demand()).collect();
     let work: f64 = demand.iter().flat_map(|row| row.iter().zip(&classes)).map(|(d, c)| d * c.work).sum();
     let pool = |n: usize| Pool {
@@ -34,34 +35,39 @@
 }
 
 pub fn measure() {
-    println!("zones  prices  classes    ways   ms anew: median, longest   ms after a change   ms over   gap at most");
+    println!(
+        "zones  prices  classes   flows   ms from scratch: median, longest   ms after a change   ms overloaded   max gap"
+    );
     for (zones, prices, classes) in [(3, 1, 1), (3, 2, 3), (5, 2, 5), (10, 1, 20), (10, 3, 20), (20, 3, 20)] {
-        let mut chance = fastrand::Rng::with_seed(1);
-        let (mut anew, mut after, mut over, mut gap) = (Vec::new(), Vec::new(), Vec::new(), 0.0_f64);
-        for _ in 0..PLANS {
-            let mut model = model(&mut chance, zones, prices, classes);
-            let timed = |model: &Model, steady: Option<Steady>, times: &mut Vec<f64>| {
-                let begun = Instant::now();
-                let found = plan(model, steady, PATIENCE).expect("a plan");
-                times.push(begun.elapsed().as_secs_f64() * 1e3);
-                found
+        let mut rng = fastrand::Rng::with_seed(1);
+        let (mut scratch, mut changed, mut overloaded, mut gap) =
+            (Vec::new(), Vec::new(), Vec::new(), 0.0_f64);
+        for _ in 0..MODELS {
+            let mut model = model(&mut rng, zones, prices, classes);
+            let timed_plan = |model: &Model, steady: Option<Steady>, times: &mut Vec<f64>| {
+                let start = Instant::now();
+                let plan = plan(model, steady, TIME_LIMIT).expect("a plan");
+                times.push(start.elapsed().as_secs_f64() * 1e3);
+                plan
             };
-            let first = timed(&model, None, &mut anew);
+            let first = timed_plan(&model, None, &mut scratch);
             gap = gap.max(first.gap());
             model.pools[0].price *= 1.5;
-            timed(&model, Some(Steady { flows: &first.flows, price: 0.01 }), &mut after);
+            timed_plan(&model, Some(Steady { flows: &first.flows, price: 0.01 }), &mut changed);
             model.demand.iter_mut().flatten().for_each(|demand| *demand *= 2.0);
-            let full = timed(&model, None, &mut over);
-            assert!(!full.faults.is_empty());
+            let overfull = timed_plan(&model, None, &mut overloaded);
+            assert!(!overfull.faults.is_empty());
         }
-        let median = |times: &mut Vec<f64>| {
+        let median_and_longest = |times: &mut Vec<f64>| {
             times.sort_by(f64::total_cmp);
             (times[times.len() / 2], times[times.len() - 1])
         };
-        let ((usual, longest), after, over) = (median(&mut anew), median(&mut after).0, median(&mut over).0);
-        let ways = zones * classes * zones * prices;
+        let (median, longest) = median_and_longest(&mut scratch);
+        let (changed, overloaded) =
+            (median_and_longest(&mut changed).0, median_and_longest(&mut overloaded).0);
+        let flows = zones * classes * zones * prices;
         println!(
-            "{zones:5} {prices:7} {classes:8} {ways:7} {usual:13.2} {longest:12.2} {after:19.2} {over:9.2} {gap:13.1e}"
+            "{zones:5} {prices:7} {classes:8} {flows:7} {median:21.2} {longest:12.2} {changed:19.2} {overloaded:15.2} {gap:9.1e}"
         );
     }
 }
--- a/benches/src/streams.rs
+++ b/benches/src/streams.rs
@@ -1,6 +1,7 @@
-//! From an order to the last ACK, with all proxies and the pilot on one thread: an upper bound.
+//! Time from a table change to the last ACK on xDS streams. All proxies and the pilot share one thread, so the results
+//! are upper bounds.
 
-use crate::fleet::server;
+use crate::fleet::{memory, server};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -22,22 +23,25 @@
 const LINES: u16 = 40;
 const CHANGES: usize = 60;
 
-struct Book {
+/// The pilot's tables and the acknowledgements of the latest change.
+struct State {
     tables: RefCell<Tables>,
-    began: Instant,
-    last: Cell<u64>,
-    current: Cell<usize>,
+    start: Instant,
+    /// Version of the latest change.
+    version: Cell<u64>,
+    /// Number of proxies that have acknowledged it.
+    acknowledged: Cell<usize>,
 }
 
 #[derive(Clone)]
-struct Pilot(Rc<Book>);
+struct Pilot(Rc<State>);
 
 impl Backend for Pilot {
     fn now(&self) -> f64 {
-        self.0.began.elapsed().as_secs_f64()
+        self.0.start.elapsed().as_secs_f64()
     }
     fn authorize(&self, node: &str, _: Option<&str>, _: Option<&Peer>) -> Result<u16, String> {
-        node.parse().map_err(|_| format!("{node:?} is no number"))
+        node.parse().map_err(|_| format!("{node:?} is not a number"))
     }
     fn unix_time(&self) -> f64 {
         0.0
@@ -62,21 +66,26 @@
     }
     fn acknowledged(&self, asker: u16, version: u64) {
         self.0.tables.borrow_mut().pull.acknowledge(asker, version);
-        if version >= self.0.last.get() {
-            self.0.current.set(self.0.current.get() + 1);
+        if version >= self.0.version.get() {
+            self.0.acknowledged.set(self.0.acknowledged.get() + 1);
         }
     }
     fn rejected(&self, _: u16, _: u64, _: &str) {}
     fn load_reported(&self, _: u16, _: Vec<LoadReport>) {}
 }
 
-/// One proxy: it takes all that it is sent.
-async fn proxy(n: u16, delta: bool, host: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Option<()> {
+/// Runs a proxy, which acknowledges every response.
+async fn run_proxy(
+    n: u16,
+    delta: bool,
+    host: SocketAddr,
+    executor: Rc<LocalExecutor<'static>>,
+) -> Option<()> {
     let socket = Async::<TcpStream>::connect(host).await.ok()?;
     let (sender, receiver) = async_channel::unbounded::<Bytes>();
     let names: Vec<String> = CLASSES.iter().map(|name| name.to_string()).collect();
     let node = Some(Node { id: n.to_string(), ..Default::default() });
-    let state = |node, nonce| {
+    let full_request = |node, nonce| {
         framed(&discovery::DiscoveryRequest {
             node,
             type_url: ENDPOINTS.into(),
@@ -85,7 +94,7 @@
             ..Default::default()
         })
     };
-    let changes = |node, names, nonce| {
+    let delta_request = |node, names, nonce| {
         framed(&discovery::DeltaDiscoveryRequest {
             node,
             type_url: ENDPOINTS.into(),
@@ -94,67 +103,64 @@
             ..Default::default()
         })
     };
-    let first = if delta { changes(node, names.clone(), String::new()) } else { state(node, String::new()) };
+    let first = if delta {
+        delta_request(node, names.clone(), String::new())
+    } else {
+        full_request(node, String::new())
+    };
     sender.try_send(first).ok()?;
     let path = if delta { methods::DELTA_AGGREGATED_RESOURCES } else { methods::STREAM_AGGREGATED_RESOURCES };
-    let (response, _open) = call(socket, (host, path), receiver, &executor).await.ok()?;
+    let (response, _connection) = call(socket, (host, path), receiver, &executor).await.ok()?;
     let mut reader = Reader::new(response.into_body(), 1 << 20);
     loop {
-        let taken = if delta {
+        let ack = if delta {
             let response = reader.next::<discovery::DeltaDiscoveryResponse>().await.ok()??;
-            changes(None, Vec::new(), response.nonce)
+            delta_request(None, Vec::new(), response.nonce)
         } else {
-            state(None, reader.next::<discovery::DiscoveryResponse>().await.ok()??.nonce)
+            full_request(None, reader.next::<discovery::DiscoveryResponse>().await.ok()??.nonce)
         };
-        sender.send(taken).await.ok()?;
+        sender.send(ack).await.ok()?;
     }
 }
 
-/// What a run came to.
-struct Found {
-    /// ms from each order to the last ACK, in order of size.
+/// The results of a run. CPU time and memory include both the pilot and the proxies.
+struct Results {
+    /// Milliseconds from each change to the last ACK, sorted.
     times: Vec<f64>,
-    /// Bytes a change and proxy.
+    /// Bytes per change and proxy.
     bytes: f64,
-    /// us of CPU a push, at both ends together.
+    /// CPU microseconds per push.
     cpu: f64,
-    /// KiB a stream, at both ends together.
+    /// KiB per stream.
     memory: f64,
 }
 
-/// A figure of this process's status, in KiB.
-fn memory() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|figure| figure.parse().ok()).unwrap_or(0.0)
-}
-
-/// s of CPU that this process took so far.
-fn cpu() -> f64 {
+/// Returns the CPU time of this process in seconds.
+fn cpu_time() -> f64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-async fn run(proxies: u16, delta: bool, executor: Rc<LocalExecutor<'static>>) -> Found {
+async fn run(proxies: u16, delta: bool, executor: Rc<LocalExecutor<'static>>) -> Results {
     let pull = Pull::new(&vec![Kind::Stream; usize::from(proxies)], CLASSES.len(), 1.5, 0.0);
-    let book = Rc::new(Book {
+    let state = Rc::new(State {
         tables: RefCell::new(Tables::new(usize::from(proxies), CLASSES.len(), pull, 10)),
-        began: Instant::now(),
-        last: Cell::new(u64::MAX),
-        current: Cell::new(0),
+        start: Instant::now(),
+        version: Cell::new(u64::MAX),
+        acknowledged: Cell::new(0),
     });
-    let order = |weight: f64| {
-        let mut tables = book.tables.borrow_mut();
+    let change_tables = |weight: f64| {
+        let mut tables = state.tables.borrow_mut();
         tables.open(0.0, 1, News::default());
         for table in 0..3 {
             let moved = if weight > 1.0 { 10 } else { LINES };
             (0..moved).for_each(|n| tables.weigh(table, server(n), weight + f64::from(n)));
         }
         tables.close();
-        book.current.set(0);
-        book.last.set(tables.version());
+        state.acknowledged.set(0);
+        state.version.set(tables.version());
     };
-    order(1.0);
+    change_tables(1.0);
     let classes = CLASSES.iter().map(|name| Class { name: name.to_string(), at_most_once: false }).collect();
     let limits = Limits {
         response_timeout: 30.0,
@@ -163,60 +169,60 @@
         report_period: 1.0,
     };
     let changed = Rc::new(Event::new());
-    let shared = Server::new(Pilot(book.clone()), classes, limits, changed.clone(), 1, None);
+    let shared = Server::new(Pilot(state.clone()), classes, limits, changed.clone(), 1, None);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     rustix::net::listen(&listener, 4096).expect("a longer queue");
     let host = listener.local_addr().expect("an address");
     let mut tasks = vec![executor.spawn(async {})];
-    let bare = memory();
+    let memory_before = memory();
     let serving = serve(listener, shared.clone(), executor.clone());
     tasks.push(executor.spawn(async move { drop(serving.await) }));
     for n in 0..proxies {
-        let dialled = proxy(n, delta, host, executor.clone());
+        let proxy = run_proxy(n, delta, host, executor.clone());
         tasks.push(executor.spawn(async move {
-            dialled.await;
+            proxy.await;
         }));
     }
-    let all = |book: Rc<Book>| async move {
-        while book.current.get() < usize::from(proxies) {
+    let all_acknowledged = |state: Rc<State>| async move {
+        while state.acknowledged.get() < usize::from(proxies) {
             Timer::after(Duration::from_micros(200)).await;
         }
     };
-    all(book.clone()).await;
-    let memory = (memory() - bare) / f64::from(proxies);
+    all_acknowledged(state.clone()).await;
+    let memory = (memory() - memory_before) / f64::from(proxies);
     let (mut times, bytes) = (Vec::new(), shared.counts.borrow().bytes);
-    let (pushes, begun_at) = (shared.counts.borrow().pushes, cpu());
+    let (pushes, cpu_before) = (shared.counts.borrow().pushes, cpu_time());
     for n in 0..CHANGES {
-        let begun = Instant::now();
-        order(2.0 + n as f64);
+        let start = Instant::now();
+        change_tables(2.0 + n as f64);
         changed.notify(usize::MAX);
-        all(book.clone()).await;
-        times.push(begun.elapsed().as_secs_f64() * 1e3);
+        all_acknowledged(state.clone()).await;
+        times.push(start.elapsed().as_secs_f64() * 1e3);
     }
     let sent = (shared.counts.borrow().bytes - bytes) as f64;
-    let cpu = (cpu() - begun_at) * 1e6 / (shared.counts.borrow().pushes - pushes) as f64;
+    let cpu = (cpu_time() - cpu_before) * 1e6 / (shared.counts.borrow().pushes - pushes) as f64;
     times.sort_by(f64::total_cmp);
-    Found { times, bytes: sent / CHANGES as f64 / f64::from(proxies), cpu, memory }
+    Results { times, bytes: sent / CHANGES as f64 / f64::from(proxies), cpu, memory }
 }
 
 pub fn measure() {
     println!(
-        "variant               proxies  order to last ACK, ms: median  99th   bytes a change and proxy   \
-         us of CPU a push   KiB a stream"
+        "variant               proxies  change to last ACK, ms: median  99th   bytes per change and proxy   \
+         us of CPU per push   KiB per stream"
     );
     for (delta, name) in [(false, "state of the world"), (true, "incremental")] {
-        // The largest first, as memory that was let go is used again and would not be seen to grow.
+        // The largest run comes first: later ones reuse freed memory, which would hide the growth.
         for proxies in [480, 120, 12] {
             let executor = Rc::new(LocalExecutor::new());
-            let found = async_io::block_on(executor.run(run(proxies, delta, executor.clone())));
-            let at = |part: f64| found.times[((found.times.len() - 1) as f64 * part) as usize];
+            let results = async_io::block_on(executor.run(run(proxies, delta, executor.clone())));
+            let quantile = |q: f64| results.times[((results.times.len() - 1) as f64 * q) as usize];
             println!(
-                "{name:20} {proxies:8} {:29.2} {:6.2} {:26.0} {:18.1} {:14.1}",
-                at(0.5),
-                at(0.99),
-                found.bytes,
-                found.cpu,
-                found.memory
+                "{name:20} {proxies:8} {:30.2} {:6.2} {:28.0} {:20.1} {:16.1}",
+                quantile(0.5),
+                quantile(0.99),
+                results.bytes,
+                results.cpu,
+                results.memory
             );
         }
     }
--- a/benches/src/verdicts.rs
+++ b/benches/src/verdicts.rs
@@ -1,4 +1,4 @@
-//! What a verdict of the guard costs, by the size of the fleet and by the change, beside a recount.
+//! Duration of a guard verdict by the size of the fleet and of the change, and of a load query compared with a recount.
 
 use crate::fleet::server;
 use oatlever_guard::{parts, Figures, Guard, Lines, Listed, Loads, Mode, Server, State};
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 const VERDICTS: usize = 400;
-/// s
-const WAY: f64 = 5.0;
+/// Seconds for which a replaced table may still be in use.
+const HOLD_TIME: f64 = 5.0;
 
 fn state(servers: u16, tables: u16) -> State {
     let ready = |n: u16| Server {
@@ -34,74 +34,74 @@
     }
 }
 
-/// us of a verdict, median and 99th, where so many lines change.
-fn verdicts(servers: u16, tables: u16, change: u16) -> (f64, f64) {
+/// Returns the median and the 99th percentile of the duration of a verdict in us; `changed` lines change before each.
+fn verdicts(servers: u16, tables: u16, changed: u16) -> (f64, f64) {
     let mut state = state(servers, tables);
-    let mut guard = Guard::new(Figures::default(), Mode::Enforce, WAY);
-    let mut chance = fastrand::Rng::with_seed(1);
-    let mut all: Vec<Lines> =
-        (0..tables).map(|_| (0..servers).map(|n| (server(n), 1.0 + chance.f64())).collect()).collect();
-    for (table, lines) in all.iter().enumerate() {
+    let mut guard = Guard::new(Figures::default(), Mode::Enforce, HOLD_TIME);
+    let mut rng = fastrand::Rng::with_seed(1);
+    let mut lines: Vec<Lines> =
+        (0..tables).map(|_| (0..servers).map(|n| (server(n), 1.0 + rng.f64())).collect()).collect();
+    for (table, lines) in lines.iter().enumerate() {
         guard.judge(&state, table as u16, lines);
     }
     let mut times = Vec::new();
     for n in 0..VERDICTS {
         state.now += 0.05;
         let table = n % usize::from(tables);
-        for _ in 0..change {
-            all[table].insert(server(chance.u16(..servers)), 1.0 + chance.f64());
+        for _ in 0..changed {
+            lines[table].insert(server(rng.u16(..servers)), 1.0 + rng.f64());
         }
-        let begun = Instant::now();
-        black_box(guard.judge(&state, table as u16, &all[table]));
-        times.push(begun.elapsed().as_secs_f64() * 1e6);
+        let start = Instant::now();
+        black_box(guard.judge(&state, table as u16, &lines[table]));
+        times.push(start.elapsed().as_secs_f64() * 1e6);
     }
     times.sort_by(f64::total_cmp);
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
-/// us to ask for the load on ten servers: by the index, and by a walk through all versions in use.
+/// Returns the duration in us of querying the load on ten servers: by the index, and by a scan of all versions in use.
 fn loads(servers: u16, tables: u16) -> (f64, f64) {
-    let (mut index, mut plain) = (Loads::default(), Vec::new());
-    let mut chance = fastrand::Rng::with_seed(2);
+    let (mut index, mut versions) = (Loads::default(), Vec::new());
+    let mut rng = fastrand::Rng::with_seed(2);
     for version in 0..3 {
         for table in 0..tables {
-            let lines: Lines = (0..servers).map(|n| (server(n), 1.0 + chance.f64())).collect();
-            let laid = parts(&lines);
-            index.lay(table, &laid, 100.0 + f64::from(version), WAY);
-            plain.push((table, laid));
+            let lines: Lines = (0..servers).map(|n| (server(n), 1.0 + rng.f64())).collect();
+            let shares = parts(&lines);
+            index.lay(table, &shares, 100.0 + f64::from(version), HOLD_TIME);
+            versions.push((table, shares));
         }
     }
-    let time = |work: &dyn Fn(u16) -> f64| {
-        let begun = Instant::now();
+    let time = |query: &dyn Fn(u16) -> f64| {
+        let start = Instant::now();
         for n in 0..10 {
-            black_box(work(n));
+            black_box(query(n));
         }
-        begun.elapsed().as_secs_f64() * 1e6
+        start.elapsed().as_secs_f64() * 1e6
     };
     (0..tables).for_each(|table| index.demand(table, 1.0));
-    let ours = time(&|n| index.others(0, &server(n)));
+    let indexed = time(&|n| index.others(0, &server(n)));
     let recount = time(&|n| {
-        let mut most = vec![0.0_f64; usize::from(tables)];
-        for (table, lines) in &plain {
-            let part = lines.get(&server(n)).copied().unwrap_or(0.0);
-            most[usize::from(*table)] = most[usize::from(*table)].max(part);
+        let mut highest = vec![0.0_f64; usize::from(tables)];
+        for (table, lines) in &versions {
+            let share = lines.get(&server(n)).copied().unwrap_or(0.0);
+            highest[usize::from(*table)] = highest[usize::from(*table)].max(share);
         }
-        most[1..].iter().sum()
+        highest[1..].iter().sum()
     });
-    (ours, recount)
+    (indexed, recount)
 }
 
 pub fn measure() {
-    println!("servers  tables  lines changed   us a verdict: median    99th");
-    for (servers, tables, change) in
+    println!("servers  tables  lines changed   us per verdict: median    99th");
+    for (servers, tables, changed) in
         [(24, 6, 10), (350, 20, 10), (350, 200, 1), (350, 200, 10), (350, 200, 100), (700, 200, 10)]
     {
-        let (median, late) = verdicts(servers, tables, change);
-        println!("{servers:7} {tables:7} {change:14} {median:22.1} {late:7.1}");
+        let (median, p99) = verdicts(servers, tables, changed);
+        println!("{servers:7} {tables:7} {changed:14} {median:24.1} {p99:7.1}");
     }
-    println!("\nus for the load on ten servers   tables      index    recount    ratio");
+    println!("\nus per query of ten servers   tables      index    recount    ratio");
     for tables in [6, 20, 200] {
-        let (ours, plain) = loads(350, tables);
-        println!("{tables:39} {ours:10.1} {plain:10.1} {:8.1}", plain / ours);
+        let (indexed, recount) = loads(350, tables);
+        println!("{tables:36} {indexed:10.1} {recount:10.1} {:8.1}", recount / indexed);
     }
 }
