--- a/benches/src/ledgers.rs
+++ b/benches/src/ledgers.rs
@@ -30,7 +30,7 @@
 
 impl MapLedger {
     /// Stores the handout of some servers to an asker until a given time.
-    fn hand(
+    fn add(
         &mut self,
         host: Ipv4Addr,
         weight: f64,
@@ -100,7 +100,7 @@
         });
         let plain = time_and_memory(MapLedger::default(), |plain, n| {
             let (host, servers, now) = query(n);
-            plain.hand(host, 1.0, servers.clone(), now + HOLD_TIME, now);
+            plain.add(host, 1.0, servers.clone(), now + HOLD_TIME, now);
             servers.for_each(|server| _ = black_box(plain.outstanding(&server, now)));
         });
         row("an answer of four and its load", askers, ours, plain);
--- a/standins/src/askers.rs
+++ b/standins/src/askers.rs
@@ -1,8 +1,8 @@
-//! Relays and terminals: they ask the DNS, pick by what it answers, and send.
+//! Relays and terminals: they look up servers over DNS or xDS, pick one for each query and send the query to it.
 
 use crate::record::Event;
 use crate::script::{Front, METRICS_PORT, SERVICE_PORT};
-use crate::servers::{labels, seconds, Labels};
+use crate::servers::{empty_histogram, labels, Labels};
 use crate::streams;
 use crate::web;
 use crate::world::World;
@@ -22,40 +22,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// s; an answer over UDP that takes longer is lost.
-const UDP_PATIENCE: f64 = 0.25;
+/// Timeout of a DNS query over UDP, in seconds.
+const UDP_TIMEOUT: f64 = 0.25;
 
-/// What an asker holds for a class.
+/// The latest answer for a class.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct CachedAnswer {
+    /// Servers and weights.
     lines: Vec<(Ipv4Addr, u16)>,
-    /// When the answer came.
-    since: f64,
-    until: f64,
+    received_at: f64,
+    expires_at: f64,
 }
 
 pub struct Asker {
     pub host: Ipv4Addr,
     pub zone: u8,
-    /// A relay asks for SRV and counts; a terminal asks for A and keeps one address.
+    /// A relay queries SRV records and has metrics; a terminal queries A records and uses only the first address.
     pub relay: bool,
     pub front: Front,
-    /// Many stand behind it and use what it got.
+    /// It stands for a resolver with many terminals behind it, which all use its answers.
     pub resolver: bool,
     pub running: Cell<bool>,
-    held: RefCell<Vec<Held>>,
-    /// Classes that a terminal keeps asking for, as no answer has come.
-    asking: RefCell<Vec<bool>>,
+    /// By class.
+    cache: RefCell<Vec<CachedAnswer>>,
+    /// Classes for which a terminal repeats its query until an answer arrives.
+    retrying: RefCell<Vec<bool>>,
     tasks: RefCell<Vec<Task<()>>>,
     counters: RefCell<Counters>,
-    /// What it met since its last load report.
-    pub met: RefCell<Vec<Met>>,
+    /// Load by class since the last load report.
+    pub load: RefCell<Vec<ClassLoad>>,
 }
 
-/// Of a class: queries that came, and by server answered, failed, and seconds of the answered ones.
+/// Load of a class.
 #[derive(Clone, Debug, Default)]
-pub struct Met {
-    pub came: u64,
+pub struct ClassLoad {
+    /// Queries received.
+    pub received: u64,
+    /// By server: answered tries, failed tries, and total response time of the answered ones in seconds.
     pub servers: BTreeMap<Ipv4Addr, (u64, u64, f64)>,
 }
 
@@ -71,11 +74,11 @@
     fn new() -> Self {
         let mut registry = Registry::with_prefix("proxy");
         let (queries, tries, failed) = Default::default();
-        let answers = Family::new_with_constructor(seconds as fn() -> Histogram);
-        registry.register("queries", "Queries that came, by class", Family::clone(&queries));
+        let answers = Family::new_with_constructor(empty_histogram as fn() -> Histogram);
+        registry.register("queries", "Queries received, by class", Family::clone(&queries));
         registry.register("tries", "Tries, by server", Family::clone(&tries));
-        registry.register("failed", "Tries that failed, by server", Family::clone(&failed));
-        registry.register("answer_seconds", "Time of answers, by server", Family::clone(&answers));
+        registry.register("failed", "Failed tries, by server", Family::clone(&failed));
+        registry.register("answer_seconds", "Response time, by server", Family::clone(&answers));
         Counters { registry, queries, tries, failed, answers }
     }
 }
@@ -89,15 +92,15 @@
             front,
             resolver: false,
             running: Cell::new(false),
-            held: RefCell::new(vec![Held::default(); classes]),
-            asking: RefCell::new(vec![false; classes]),
+            cache: RefCell::new(vec![CachedAnswer::default(); classes]),
+            retrying: RefCell::new(vec![false; classes]),
             tasks: RefCell::default(),
             counters: RefCell::new(Counters::new()),
-            met: RefCell::new(vec![Met::default(); classes]),
+            load: RefCell::new(vec![ClassLoad::default(); classes]),
         }
     }
 
-    /// Counters start anew.
+    /// Resets the metrics.
     pub fn reset(&self) {
         *self.counters.borrow_mut() = Counters::new();
     }
@@ -107,20 +110,20 @@
             return;
         }
         self.reset();
-        self.held.borrow_mut().fill(Held::default());
+        self.cache.borrow_mut().fill(CachedAnswer::default());
         if !self.relay {
             return;
         }
         let mut tasks = self.tasks.borrow_mut();
-        if self.front != Front::Dns && world.instead.is_none() {
-            tasks.push(world.executor.spawn(streams::discover(self.clone(), world.clone())));
-            tasks.push(world.executor.spawn(streams::report(self.clone(), world.clone())));
+        if self.front != Front::Dns && world.baseline.is_none() {
+            tasks.push(world.executor.spawn(streams::follow_tables(self.clone(), world.clone())));
+            tasks.push(world.executor.spawn(streams::report_load(self.clone(), world.clone())));
             return;
         }
-        let (asker, of) = (self.clone(), world.clone());
+        let (asker, shared) = (self.clone(), world.clone());
         let host = SocketAddr::from((self.host, METRICS_PORT));
         let serve = web::serve(host, world.executor.clone(), move |_, _| {
-            let (asker, world) = (asker.clone(), of.clone());
+            let (asker, world) = (asker.clone(), shared.clone());
             async move {
                 if world.faults.borrow().scrapes_hang {
                     future::pending::<()>().await;
@@ -131,11 +134,11 @@
         });
         tasks.push(world.executor.spawn(serve));
         for class in 0..world.script.classes.len() {
-            let (asker, of) = (self.clone(), world.clone());
-            tasks.push(world.executor.spawn(async move {
+            let (asker, world) = (self.clone(), world.clone());
+            tasks.push(world.executor.clone().spawn(async move {
                 loop {
-                    asker.refresh(&of, class).await;
-                    let left = asker.held.borrow()[class].until - of.now();
+                    asker.refresh(&world, class).await;
+                    let left = asker.cache.borrow()[class].expires_at - world.now();
                     Timer::after(Duration::from_secs_f64(left.max(0.05))).await;
                 }
             }));
@@ -147,45 +150,45 @@
         drop(self.tasks.take());
     }
 
-    /// Takes lines that were pushed.
-    pub fn take(&self, world: &World, class: usize, lines: Vec<(Ipv4Addr, u16)>) {
-        world.record.note(Event::Answer { asker: self.host, class: class as u8, lines: lines.clone() });
-        self.held.borrow_mut()[class] = Held { lines, since: world.now(), until: f64::INFINITY };
+    /// Replaces the lines of a class with those pushed over xDS.
+    pub fn set_lines(&self, world: &World, class: usize, lines: Vec<(Ipv4Addr, u16)>) {
+        world.recorder.record(Event::Answer { asker: self.host, class: class as u8, lines: lines.clone() });
+        self.cache.borrow_mut()[class] =
+            CachedAnswer { lines, received_at: world.now(), expires_at: f64::INFINITY };
     }
 
-    /// Asks for a class anew. What is held stays in use where no answer comes (RFC 8767).
+    /// Queries a class; returns whether there was an answer. Without one, the expired answer stays in use (RFC 8767).
     async fn refresh(&self, world: &World, class: usize) -> bool {
         let lifetime = f64::from(world.script.lifetime);
-        let answered = match world.by_rule() {
+        let answer = match world.baseline_lines() {
             Some(lines) => Some((lines, lifetime)),
             None => self.resolve(world, class).await,
         };
-        if let Some((mut lines, lifetime)) = answered {
-            if !self.relay {
-                lines.truncate(1);
-            }
-            let (asker, number) = (self.host, class as u8);
-            world.record.note(Event::Answer { asker, class: number, lines: lines.clone() });
-            let lifetime = if self.resolver { lifetime * world.script.keep } else { lifetime };
-            let since = world.now();
-            self.held.borrow_mut()[class] = Held { lines, since, until: since + lifetime };
-            return true;
+        let Some((mut lines, lifetime)) = answer else { return false };
+        if !self.relay {
+            lines.truncate(1);
         }
-        false
+        let (asker, number) = (self.host, class as u8);
+        world.recorder.record(Event::Answer { asker, class: number, lines: lines.clone() });
+        let lifetime = if self.resolver { lifetime * world.script.keep } else { lifetime };
+        let received_at = world.now();
+        self.cache.borrow_mut()[class] =
+            CachedAnswer { lines, received_at, expires_at: received_at + lifetime };
+        true
     }
 
-    /// Asks until there is an answer.
-    async fn insist(self: Rc<Self>, world: Rc<World>, class: usize) {
-        if !std::mem::replace(&mut self.asking.borrow_mut()[class], true) {
+    /// Repeats the query of a class until there is an answer.
+    async fn retry(self: Rc<Self>, world: Rc<World>, class: usize) {
+        if !std::mem::replace(&mut self.retrying.borrow_mut()[class], true) {
             while !self.refresh(&world, class).await {
-                Timer::after(Duration::from_secs_f64(UDP_PATIENCE)).await;
+                Timer::after(Duration::from_secs_f64(UDP_TIMEOUT)).await;
             }
-            self.asking.borrow_mut()[class] = false;
+            self.retrying.borrow_mut()[class] = false;
         }
     }
 
-    /// Whether the pilot answers with lines for every class.
-    pub async fn answered(&self, world: &World) -> bool {
+    /// Whether the pilot's DNS answers have lines for every class.
+    pub async fn has_answers(&self, world: &World) -> bool {
         for class in 0..world.script.classes.len() {
             if self.resolve(world, class).await.is_none_or(|(lines, _)| lines.is_empty()) {
                 return false;
@@ -194,6 +197,7 @@
         true
     }
 
+    /// Queries the pilot's DNS front, over TCP if the UDP answer is incomplete. Returns the lines and their TTL.
     async fn resolve(&self, world: &World, class: usize) -> Option<(Vec<(Ipv4Addr, u16)>, f64)> {
         let name = &world.script.classes[class].name;
         let (name, kind) = match self.relay {
@@ -201,110 +205,111 @@
             false => (format!("{name}.shops.test"), Rtype::A),
         };
         let host = world.realm.dns();
-        let question = ask(&name, kind, (world.chance() * 65536.0) as u16)?;
+        let query = encode_query(&name, kind, (world.random() * 65536.0) as u16)?;
         let (lost, late) = {
             let faults = world.faults.borrow();
             (faults.dns_lost, faults.dns_late)
         };
         Timer::after(Duration::from_secs_f64(late)).await;
-        if world.chance() < lost {
-            Timer::after(Duration::from_secs_f64(UDP_PATIENCE)).await;
+        if world.random() < lost {
+            Timer::after(Duration::from_secs_f64(UDP_TIMEOUT)).await;
             return None;
         }
         let over_udp = async {
             let socket = Async::<UdpSocket>::bind(SocketAddr::from((self.host, 0)))?;
-            socket.send_to(&question, host).await?;
+            socket.send_to(&query, host).await?;
             let mut packet = vec![0; 4096];
             let (length, _) = socket.recv_from(&mut packet).await?;
             packet.truncate(length);
             Ok(packet)
         };
-        let packet = within(UDP_PATIENCE, over_udp).await.ok()?;
-        match read(&packet, kind) {
-            // Cut, or without the addresses: the whole of it comes over TCP.
+        let packet = with_timeout(UDP_TIMEOUT, over_udp).await.ok()?;
+        match decode_answer(&packet, kind) {
+            // The answer is truncated or lacks addresses.
             None if !packet.is_empty() => {
                 let over_tcp = async {
                     let from = SocketAddr::from((self.host, 0));
                     let mut stream: Async<TcpStream> = oatlever_fetch::connect(host, Some(from)).await?;
-                    stream.write_all(&(question.len() as u16).to_be_bytes()).await?;
-                    stream.write_all(&question).await?;
+                    stream.write_all(&(query.len() as u16).to_be_bytes()).await?;
+                    stream.write_all(&query).await?;
                     let mut length = [0; 2];
                     stream.read_exact(&mut length).await?;
                     let mut packet = vec![0; usize::from(u16::from_be_bytes(length))];
                     stream.read_exact(&mut packet).await?;
                     Ok(packet)
                 };
-                let packet = within(4.0 * UDP_PATIENCE, over_tcp).await.ok()?;
-                read(&packet, kind)
+                let packet = with_timeout(4.0 * UDP_TIMEOUT, over_tcp).await.ok()?;
+                decode_answer(&packet, kind)
             }
-            found => found,
+            answer => answer,
         }
     }
 
-    /// Draws a line by weight, other than `but`.
-    fn pick(&self, world: &World, class: usize, but: Option<Ipv4Addr>) -> Option<Ipv4Addr> {
-        let held = self.held.borrow();
-        let open = held[class].lines.iter().filter(|(host, _)| Some(*host) != but);
-        let all: f64 = open.clone().map(|(_, weight)| f64::from(*weight)).sum();
-        let mut target = world.chance() * all;
-        let mut found = None;
-        for (host, weight) in open {
-            found = Some(*host);
+    /// Picks a server at random by weight, other than `excluded`.
+    fn pick(&self, world: &World, class: usize, excluded: Option<Ipv4Addr>) -> Option<Ipv4Addr> {
+        let cache = self.cache.borrow();
+        let candidates = cache[class].lines.iter().filter(|(host, _)| Some(*host) != excluded);
+        let total: f64 = candidates.clone().map(|(_, weight)| f64::from(*weight)).sum();
+        let mut target = world.random() * total;
+        let mut picked = None;
+        for (host, weight) in candidates {
+            picked = Some(*host);
             target -= f64::from(*weight);
             if target < 0.0 {
                 break;
             }
         }
-        found
+        picked
     }
 
-    /// One query of a client, from its arrival to its end.
-    pub async fn query(self: Rc<Self>, world: Rc<World>, class: usize) {
+    /// Handles a client's query from its arrival to its end.
+    pub async fn handle_query(self: Rc<Self>, world: Rc<World>, class: usize) {
         let query = world.queries.get();
         world.queries.set(query + 1);
-        let (kind, begun) = (&world.script.classes[class], world.now());
-        self.met.borrow_mut()[class].came += 1;
+        let (settings, start) = (&world.script.classes[class], world.now());
+        self.load.borrow_mut()[class].received += 1;
         if self.relay {
-            self.counters.borrow().queries.get_or_create(&labels(&[("class", &kind.name)])).inc();
-        } else if self.held.borrow()[class].until + world.script.overstay * world.chance() < begun {
-            // A terminal asks when it needs to, and may keep what it has a little longer.
+            self.counters.borrow().queries.get_or_create(&labels(&[("class", &settings.name)])).inc();
+        } else if self.cache.borrow()[class].expires_at + world.script.overstay * world.random() < start {
+            // Terminals look up servers on demand, and may use an answer a little beyond its lifetime.
             if !self.refresh(&world, class).await {
-                world.executor.spawn(self.clone().insist(world.clone(), class)).detach();
+                world.executor.spawn(self.clone().retry(world.clone(), class)).detach();
             }
         }
-        let (mut answered, mut but) = (false, None);
+        let (mut answered, mut excluded) = (false, None);
         for _ in 0..if self.relay { 2 } else { 1 } {
-            let Some(server) = self.pick(&world, class, but) else {
-                world.record.note(Event::Without { asker: self.host, class: class as u8 });
+            let Some(server) = self.pick(&world, class, excluded) else {
+                world.recorder.record(Event::Without { asker: self.host, class: class as u8 });
                 break;
             };
-            world.record.note(Event::Sent { query, answered: self.held.borrow()[class].since });
-            let (at, ran) = (world.now(), self.attempt(&world, class, query, server, begun).await);
-            self.count(class, server, ran == Some(true), world.now() - at);
-            answered = ran == Some(true);
-            // Only what surely never ran is tried again.
-            if ran.is_some() || !self.running.get() {
+            world.recorder.record(Event::Sent { query, answered: self.cache.borrow()[class].received_at });
+            let (sent_at, result) = (world.now(), self.send_query(&world, class, query, server, start).await);
+            self.count_try(class, server, result == Some(true), world.now() - sent_at);
+            answered = result == Some(true);
+            // Only a query that certainly never ran is retried.
+            if result.is_some() || !self.running.get() {
                 break;
             }
-            but = Some(server);
+            excluded = Some(server);
         }
-        let answered = if answered && world.now() - begun <= kind.due { kind.benefit } else { 0.0 };
-        world.record.note(Event::Ended { query, class: class as u8, asked: kind.benefit, answered });
+        let in_time = answered && world.now() - start <= settings.due;
+        let answered = if in_time { settings.benefit } else { 0.0 };
+        world.recorder.record(Event::Ended { query, class: class as u8, asked: settings.benefit, answered });
     }
 
-    /// Whether the server answered; none where the query surely never ran.
-    async fn attempt(
+    /// Sends a query to a server. Returns whether it was answered; `None` if it certainly never ran.
+    async fn send_query(
         &self,
         world: &World,
         class: usize,
         query: u64,
         server: Ipv4Addr,
-        begun: f64,
+        start: f64,
     ) -> Option<bool> {
-        let kind = &world.script.classes[class];
+        let settings = &world.script.classes[class];
         let host = SocketAddr::from((server, SERVICE_PORT));
-        let place = Place { host, path: format!("/{}/{query}", kind.name) };
-        let left = (begun + kind.abandon - world.now()).max(0.01);
+        let place = Place { host, path: format!("/{}/{query}", settings.name) };
+        let left = (start + settings.abandon - world.now()).max(0.01);
         match get::<oatlever_fetch::Shared>(&place, Some(SocketAddr::from((self.host, 0))), left, 1 << 16)
             .await
         {
@@ -315,34 +320,38 @@
         }
     }
 
-    fn count(&self, class: usize, server: Ipv4Addr, answered: bool, took: f64) {
-        let mut met = self.met.borrow_mut();
-        let at = met[class].servers.entry(server).or_default();
+    /// Counts a try in the metrics and for the load report.
+    fn count_try(&self, class: usize, server: Ipv4Addr, answered: bool, time: f64) {
+        let mut load = self.load.borrow_mut();
+        let counts = load[class].servers.entry(server).or_default();
         match answered {
-            true => *at = (at.0 + 1, at.1, at.2 + took),
-            false => at.1 += 1,
+            true => *counts = (counts.0 + 1, counts.1, counts.2 + time),
+            false => counts.1 += 1,
         }
         let counters = self.counters.borrow();
         let server = labels(&[("server", &format!("{server}:{SERVICE_PORT}"))]);
         counters.tries.get_or_create(&server).inc();
         if answered {
-            counters.answers.get_or_create(&server).observe(took);
+            counters.answers.get_or_create(&server).observe(time);
         } else {
             counters.failed.get_or_create(&server).inc();
         }
     }
 }
 
-async fn within<T>(patience: f64, work: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
-    let late = async {
-        Timer::after(Duration::from_secs_f64(patience)).await;
+async fn with_timeout<T>(
+    seconds: f64,
+    work: impl std::future::Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    let timeout = async {
+        Timer::after(Duration::from_secs_f64(seconds)).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
-/// A question with EDNS, as bytes.
-pub fn ask(name: &str, kind: Rtype, id: u16) -> Option<Vec<u8>> {
+/// Encodes a DNS query with EDNS.
+fn encode_query(name: &str, kind: Rtype, id: u16) -> Option<Vec<u8>> {
     let name = Name::<Vec<u8>>::from_chars(name.chars()).ok()?;
     let mut question = MessageBuilder::new_vec().question();
     question.header_mut().set_id(id);
@@ -357,9 +366,9 @@
     Some(additional.finish())
 }
 
-/// Lines and their lifetime; none where the answer is cut, lacks an address, or says no more than that
-/// the server is in trouble.
-pub fn read(packet: &[u8], kind: Rtype) -> Option<(Vec<(Ipv4Addr, u16)>, f64)> {
+/// Returns the lines of a DNS answer and their TTL; `None` if the answer is truncated, lacks an address or reports an
+/// error.
+fn decode_answer(packet: &[u8], kind: Rtype) -> Option<(Vec<(Ipv4Addr, u16)>, f64)> {
     let message = Message::from_octets(packet).ok()?;
     if message.header().tc() || message.header().rcode() != Rcode::NOERROR {
         return None;
--- a/standins/src/day.rs
+++ b/standins/src/day.rs
@@ -1,8 +1,8 @@
-//! A day: the stand-ins, a real pilot process, load, faults, and the record of it all.
+//! Runs a day: starts the stand-ins and a real pilot process, generates load, injects faults and records the events.
 
 use crate::askers::Asker;
 use crate::record::{Entry, Event};
-use crate::script::{Fault, Front, Instead, Kind, Realm, Script, SERVICE_PORT};
+use crate::script::{Baseline, Fault, FaultKind, Front, Realm, Script, SERVICE_PORT};
 use crate::servers::Server;
 use crate::world::World;
 use async_executor::LocalExecutor;
@@ -22,18 +22,19 @@
     pub realm: Realm,
     /// The pilot's program.
     pub program: PathBuf,
-    /// Where settings and the kept list go.
+    /// Folder for the settings, the cached server list and the log of the pilot.
     pub folder: PathBuf,
-    pub instead: Option<Instead>,
-    /// A line a second on standard output.
+    /// Replaces the pilot's answers.
+    pub baseline: Option<Baseline>,
+    /// Print a line per second.
     pub progress: bool,
 }
 
-/// Between looks whether the pilot still runs.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Between looks whether a pilot that is asked to end still runs.
-const LOOK_AGAIN_SOON: Duration = Duration::from_millis(5);
-/// Tables that a hand reaches for; more than small fleets have.
+/// Interval of checks whether the pilot still runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of checks whether a pilot has exited after SIGTERM.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of tables that a manual override sets; more than small fleets have.
 const TABLES: u8 = 12;
 
 /// The pilot's process, killed when it is dropped.
@@ -42,8 +43,8 @@
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// Why the day is not to go on, beside the end of the present process.
-    trouble: Option<String>,
+    /// An error that ends the day although a new process may be running.
+    error: Option<String>,
 }
 
 impl Pilot {
@@ -54,8 +55,8 @@
             .arg("pilot")
             .arg(&self.settings)
             .args(["--log", "json", "--seed", &seed.to_string(), "--end-with-input"])
-            // The pipe closes however this process ends, by a kill as well, and the pilot ends with it: one that
-            // is left holds the ports that the next one needs.
+            // The pipe closes however this process ends, even by SIGKILL, and the pilot ends with it. A pilot that
+            // is left running would hold the ports that the next one needs.
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log)
@@ -71,55 +72,59 @@
         }
     }
 
-    /// Lays every table by hand so that one server gets everything, or lets all follow the decisions again.
-    fn by_hand(&self, lay: bool, host: Ipv4Addr) {
+    /// Sets every table by a manual override so that one server receives all queries, or releases the overrides.
+    fn override_tables(&self, active: bool, host: Ipv4Addr) {
         let lines = self.settings.with_file_name("lines.json");
-        let told = std::fs::write(&lines, format!("{{\"{host}:{SERVICE_PORT}\": 1}}"));
+        let written = std::fs::write(&lines, format!("{{\"{host}:{SERVICE_PORT}\": 1}}"));
         let (program, socket) = (self.program.clone(), self.settings.with_file_name("list.json.control"));
-        // Beside the load, which must not stop meanwhile.
+        // On another thread, so that the load goes on meanwhile.
         std::thread::spawn(move || {
             for table in 0..TABLES {
                 let mut command = Command::new(&program);
                 command.args(["tables", "--socket"]).arg(&socket);
-                command.args([if lay { "lay" } else { "release" }, &table.to_string()]);
-                if lay {
+                command.args([if active { "lay" } else { "release" }, &table.to_string()]);
+                if active {
                     command.arg(&lines);
                 }
                 let _ = command.stdout(Stdio::null()).stderr(Stdio::null()).status();
             }
         });
-        drop(told);
+        drop(written);
     }
 
-    /// What its guard says of the day.
+    /// Returns the output of `guard at ... explain`: the guard's verdicts of the day.
     fn explain(&self) -> serde_json::Value {
         let socket = self.settings.with_file_name("list.json.control");
-        let told = Command::new(&self.program)
+        let output = Command::new(&self.program)
             .args(["guard", "at", "--socket"])
             .arg(&socket)
             .arg("explain")
             .output();
-        told.ok().and_then(|told| serde_json::from_slice(&told.stdout).ok()).unwrap_or_default()
+        output.ok().and_then(|output| serde_json::from_slice(&output.stdout).ok()).unwrap_or_default()
     }
 
-    /// What it said last, where it has ended unbidden, or has not ended as it should.
-    fn ended(&mut self) -> Option<String> {
-        if let Some(trouble) = self.trouble.take() {
-            return Some(trouble);
+    /// Returns a pending error, or one with the last log line if the process has exited on its own.
+    fn unexpected_exit(&mut self) -> Option<String> {
+        if let Some(error) = self.error.take() {
+            return Some(error);
         }
         let status = self.child.as_mut()?.try_wait().ok()??;
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let last = log.lines().last().unwrap_or("nothing").to_string();
         Some(format!(
-            "the pilot ended by itself: {status}; its last words, in {}: {last}",
+            "the pilot exited unexpectedly: {status}; last line of its log {}: {last}",
             self.log.display()
         ))
     }
 
-    /// Asks it to end. Errors: it did not end well.
-    fn end(&mut self) -> Result<(), String> {
-        if let Some(words) = self.ended() {
-            return Err(words);
+    /// Sends SIGTERM and waits for the exit.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if it had exited before or exits with a status other than 0.
+    fn terminate(&mut self) -> Result<(), String> {
+        if let Some(error) = self.unexpected_exit() {
+            return Err(error);
         }
         let Some(mut child) = self.child.take() else { return Ok(()) };
         kill_process(Pid::from_child(&child), Signal::TERM).map_err(|e| e.to_string())?;
@@ -138,30 +143,34 @@
     }
 }
 
-/// Plays a day. Errors: what kept it from being played.
+/// Runs a day and returns its events.
+///
+/// # Errors
+///
+/// Returns an error if files or the pilot can't be created, or if the pilot exits otherwise than it should.
 pub fn play(script: Script, options: &Options) -> Result<Vec<Entry>, String> {
-    let told = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
-    std::fs::create_dir_all(&options.folder).map_err(|e| told(&options.folder, e))?;
+    let with_path = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
+    std::fs::create_dir_all(&options.folder).map_err(|e| with_path(&options.folder, e))?;
     let settings = options.folder.join("settings.json");
     let cache = options.folder.join("list.json");
-    let text = options.realm.settings(&script, &cache.to_string_lossy()).to_string();
-    std::fs::write(&settings, text).map_err(|e| told(&settings, e))?;
+    let text = options.realm.pilot_settings(&script, &cache.to_string_lossy()).to_string();
+    std::fs::write(&settings, text).map_err(|e| with_path(&settings, e))?;
     let log = options.folder.join("pilot.log");
-    let pilot = Pilot { program: options.program.clone(), settings, log, child: None, trouble: None };
+    let pilot = Pilot { program: options.program.clone(), settings, log, child: None, error: None };
 
     let executor = Rc::new(LocalExecutor::new());
-    let world = World::new(script, options.realm, options.instead, executor.clone());
+    let world = World::new(script, options.realm, options.baseline, executor.clone());
     let pilot = Rc::new(RefCell::new(pilot));
-    let played = run(world, pilot.clone(), options.progress);
-    async_io::block_on(executor.run(future::or(played, ended_unbidden(pilot))))
+    let day = run(world, pilot.clone(), options.progress);
+    async_io::block_on(executor.run(future::or(day, watch_pilot(pilot))))
 }
 
-/// Waits until the pilot has ended though nobody ended it, which ends the day. Errors: always, with its last words.
-async fn ended_unbidden(pilot: Rc<RefCell<Pilot>>) -> Result<Vec<Entry>, String> {
+/// Waits until the pilot exits unexpectedly. Always returns an error, which ends the day.
+async fn watch_pilot(pilot: Rc<RefCell<Pilot>>) -> Result<Vec<Entry>, String> {
     loop {
-        Timer::after(LOOK_AGAIN).await;
-        if let Some(words) = pilot.borrow_mut().ended() {
-            return Err(words);
+        Timer::after(POLL_INTERVAL).await;
+        if let Some(error) = pilot.borrow_mut().unexpected_exit() {
+            return Err(error);
         }
     }
 }
@@ -175,7 +184,8 @@
         }
         let classes = script.classes.len();
         for n in 0..script.relays {
-            let asker = Asker::new(world.realm.relay(zone, n), zone, true, script.relays_by.of(n), classes);
+            let asker =
+                Asker::new(world.realm.relay(zone, n), zone, true, script.relays_by.for_relay(n), classes);
             world.askers.borrow_mut().push(Rc::new(asker));
         }
         for n in 0..script.terminals {
@@ -185,35 +195,35 @@
         }
     }
     world.servers.borrow().iter().for_each(|server| server.start(&world, false));
-    let mut tasks = vec![world.executor.spawn(world.clone().roster())];
+    let mut tasks = vec![world.executor.spawn(world.clone().serve_roster())];
     pilot.borrow_mut().start(script.seed)?;
-    world.record.note(Event::PilotStarted);
+    world.recorder.record(Event::PilotStarted);
     wait_for_answers(&world).await?;
     world.askers.borrow().iter().for_each(|asker| asker.start(&world));
-    // Relays ask at their start; load comes when they have had time for an answer.
+    // Relays look up servers when they start; the load starts once they have had time for an answer.
     Timer::after(Duration::from_secs_f64(0.3)).await;
     let start = world.now();
     for relays in [true, false] {
-        tasks.push(world.executor.spawn(load(world.clone(), relays)));
+        tasks.push(world.executor.spawn(generate_load(world.clone(), relays)));
     }
     for fault in script.faults.clone() {
         let (world, pilot) = (world.clone(), pilot.clone());
         tasks.push(world.executor.clone().spawn(async move {
             Timer::after(Duration::from_secs_f64(fault.at)).await;
-            strike(&world, &pilot, &fault).await;
+            inject(&world, &pilot, &fault).await;
         }));
     }
-    tasks.push(world.executor.spawn(watch(world.clone())));
+    tasks.push(world.executor.spawn(watch_channel(world.clone())));
     let mut second = 0;
     while world.now() - start < script.seconds {
         Timer::after(Duration::from_secs_f64((start + f64::from(second) + 1.0 - world.now()).max(0.0))).await;
         second += 1;
         if progress {
-            let (got, all) = world.record.service_since(world.now() - 1.0);
+            let (answered, asked) = world.recorder.service_since(world.now() - 1.0);
             let up = world.servers.borrow().iter().filter(|server| server.running.get()).count();
             println!(
                 "{second:4} s  service {:.3}  servers up {up}  queries {}",
-                got / all.max(1e-9),
+                answered / asked.max(1e-9),
                 world.queries.get()
             );
         }
@@ -229,33 +239,33 @@
         }
         let verdicts = lines().filter(|line| line.starts_with("oatlever_guard_verdicts"));
         let counts = verdicts.filter_map(|line| line.split(' ').nth(1)?.parse::<f64>().ok());
-        world.record.note(Event::Verdicts(counts.sum()));
-        findings(&world, pilot.borrow().explain());
+        world.recorder.record(Event::Verdicts(counts.sum()));
+        record_findings(&world, pilot.borrow().explain());
     }
     drop(tasks);
-    pilot.borrow_mut().end()?;
-    Ok(world.record.take())
+    pilot.borrow_mut().terminate()?;
+    Ok(world.recorder.take())
 }
 
-/// Notes what the guard found, at the time when it did.
-fn findings(world: &World, told: serde_json::Value) {
+/// Records the guard's findings at the times of their verdicts.
+fn record_findings(world: &World, explanation: serde_json::Value) {
     let list = |value: &serde_json::Value| value.as_array().cloned().unwrap_or_default();
-    for verdict in list(&told["verdicts"]) {
+    for verdict in list(&explanation["verdicts"]) {
         let at = world.now() - verdict["ago"].as_f64().unwrap_or(0.0);
         for finding in list(&verdict["findings"]) {
             let host = |text: &serde_json::Value| text.as_str()?.split(':').next()?.parse().ok();
             let servers = list(&finding["servers"]).iter().filter_map(host).collect();
             let check = finding["check"].as_str().unwrap_or_default().to_string();
-            world.record.note_at(at, Event::Finding { check, servers });
+            world.recorder.record_at(at, Event::Finding { check, servers });
         }
     }
 }
 
-/// Until the pilot answers with lines.
+/// Waits until the pilot's DNS answers have lines for all classes.
 async fn wait_for_answers(world: &World) -> Result<(), String> {
     let probe = Asker::new(world.realm.terminal(0, 0), 0, true, Front::Dns, world.script.classes.len());
     for _ in 0..100 {
-        if probe.answered(world).await {
+        if probe.has_answers(world).await {
             return Ok(());
         }
         Timer::after(Duration::from_millis(100)).await;
@@ -263,8 +273,8 @@
     Err("the pilot gave no answer within 10 s of its start".to_string())
 }
 
-/// Queries as they come: independent of each other.
-async fn load(world: Rc<World>, relays: bool) {
+/// Sends the queries of all relays or of all terminals, as a Poisson process.
+async fn generate_load(world: Rc<World>, relays: bool) {
     let script = &world.script;
     let rate = if relays { script.relay_rate } else { script.terminal_rate };
     let askers: Vec<Rc<Asker>> =
@@ -272,54 +282,56 @@
     if askers.is_empty() || rate <= 0.0 {
         return;
     }
-    let all: f64 = script.classes.iter().map(|class| class.part).sum();
+    let parts: f64 = script.classes.iter().map(|class| class.part).sum();
     let mut at = world.now();
     loop {
         let surge = world.faults.borrow().surge;
-        at += -(1.0 - world.chance()).ln() / (rate * if surge > 0.0 { surge } else { 1.0 });
+        at += -(1.0 - world.random()).ln() / (rate * if surge > 0.0 { surge } else { 1.0 });
         Timer::after(Duration::from_secs_f64((at - world.now()).max(0.0))).await;
-        let mut target = world.chance() * all;
+        let mut target = world.random() * parts;
         let class = script.classes.iter().position(|class| {
             target -= class.part;
             target < 0.0
         });
         let weight = |asker: &&Rc<Asker>| if asker.resolver { script.resolver } else { 1.0 };
         let running: Vec<&Rc<Asker>> = askers.iter().filter(|asker| asker.running.get()).collect();
-        let mut target = world.chance() * running.iter().map(weight).sum::<f64>();
-        let found = running.iter().find(|asker| {
+        let mut target = world.random() * running.iter().map(weight).sum::<f64>();
+        let picked = running.iter().find(|asker| {
             target -= weight(asker);
             target < 0.0
         });
-        if let Some(asker) = found {
-            let work = Rc::clone(asker).query(world.clone(), class.unwrap_or(0));
+        if let Some(asker) = picked {
+            let work = Rc::clone(asker).handle_query(world.clone(), class.unwrap_or(0));
             world.executor.spawn(work).detach();
         }
     }
 }
 
-/// Reads what the pilot states of its channel.
-async fn watch(world: Rc<World>) {
+/// Records the number of lines waiting in the pilot's channel, from its status page.
+async fn watch_channel(world: Rc<World>) {
     let place = Place { host: world.realm.status(), path: "/status".to_string() };
     loop {
         Timer::after(Duration::from_millis(250)).await;
         let Ok(answer) = get::<oatlever_fetch::Shared>(&place, None, 0.5, 64 << 20).await else { continue };
         let status: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         if let Some(lines) = status["channel"]["waiting"].as_f64() {
-            world.record.note(Event::Waiting(lines));
+            world.recorder.record(Event::Waiting(lines));
         }
     }
 }
 
-/// Asks the pilot to end while everybody goes on, and kills it where it runs at the earliest kill; that, or another
-/// status than 0, ends the day.
+/// Sends SIGTERM to the pilot under load and kills it at the end of the grace period. A kill, or a status other than 0,
+/// ends the day with an error.
 async fn end_pilot(world: &World, pilot: &RefCell<Pilot>) {
     let Some(mut child) = pilot.borrow_mut().child.take() else { return };
-    world.record.note(Event::PilotKilled);
+    world.recorder.record(Event::PilotKilled);
     let _ = kill_process(Pid::from_child(&child), Signal::TERM);
-    let asked = Instant::now();
+    let terminated_at = Instant::now();
     let status = loop {
         match child.try_wait() {
-            Ok(None) if asked.elapsed() < MIN_TERMINATION_GRACE => Timer::after(LOOK_AGAIN_SOON).await,
+            Ok(None) if terminated_at.elapsed() < MIN_TERMINATION_GRACE => {
+                Timer::after(EXIT_POLL_INTERVAL).await
+            }
             Ok(status) => break status,
             Err(_) => break None,
         };
@@ -327,71 +339,77 @@
     let _ = child.kill();
     let _ = child.wait();
     if !status.is_some_and(|status| status.success()) {
-        let how = status.map_or("still ran at the earliest kill".to_string(), |status| status.to_string());
-        pilot.borrow_mut().trouble = Some(format!("the pilot was asked to end: {how}"));
+        pilot.borrow_mut().error = Some(match status {
+            Some(status) => format!("the pilot exited after SIGTERM with {status}"),
+            None => "the pilot still ran at the end of the grace period after SIGTERM".to_string(),
+        });
     }
 }
 
-async fn strike(world: &Rc<World>, pilot: &RefCell<Pilot>, fault: &Fault) {
-    if fault.kind == Kind::PilotEnds {
+/// Injects a fault, waits for its duration and reverts it.
+async fn inject(world: &Rc<World>, pilot: &RefCell<Pilot>, fault: &Fault) {
+    if fault.kind == FaultKind::PilotEnds {
         end_pilot(world, pilot).await;
     }
-    let hit = |zone: u8| fault.zone.is_none_or(|hit| hit == zone);
-    let servers: Vec<Rc<Server>> = world.servers.borrow().iter().filter(|s| hit(s.zone)).cloned().collect();
+    let affected = |zone: u8| fault.zone.is_none_or(|affected| affected == zone);
+    let servers: Vec<Rc<Server>> =
+        world.servers.borrow().iter().filter(|s| affected(s.zone)).cloned().collect();
     let count = (servers.len() as f64 * fault.part).ceil() as usize;
-    // Spread over the zones that are hit.
+    // The chosen servers are spread evenly over the affected zones.
     let step = (servers.len() as f64 / count.max(1) as f64).max(1.0);
     let chosen = (0..count).filter_map(|n| servers.get((n as f64 * step) as usize).cloned());
     let chosen: Vec<Rc<Server>> = chosen.collect();
     let relays: Vec<Rc<Asker>> =
-        world.askers.borrow().iter().filter(|asker| asker.relay && hit(asker.zone)).cloned().collect();
+        world.askers.borrow().iter().filter(|asker| asker.relay && affected(asker.zone)).cloned().collect();
     let relays = &relays[..(relays.len() as f64 * fault.part).ceil() as usize];
-    let on = |on: bool| {
+    let set_active = |active: bool| {
         let mut faults = world.faults.borrow_mut();
         match fault.kind {
-            Kind::Crash if on => chosen.iter().for_each(|server| server.stop(world)),
-            Kind::Crash => chosen.iter().for_each(|server| server.start(world, true)),
-            Kind::Restart if on => chosen.iter().for_each(|server| {
+            FaultKind::Crash if active => chosen.iter().for_each(|server| server.stop(world)),
+            FaultKind::Crash => chosen.iter().for_each(|server| server.start(world, true)),
+            FaultKind::Restart if active => chosen.iter().for_each(|server| {
                 server.stop(world);
                 server.start(world, true);
             }),
-            Kind::Drain => chosen.iter().for_each(|server| server.draining.set(on)),
-            Kind::Hang => chosen.iter().for_each(|server| server.hung.set(on)),
-            Kind::Slow(times) => chosen.iter().for_each(|s| s.slow.set(if on { times } else { 1.0 })),
-            Kind::QuickErrors => chosen.iter().for_each(|server| server.failing.set(on)),
-            Kind::AnswersLost => chosen.iter().for_each(|server| server.losing.set(on)),
-            Kind::ListLies => {
+            FaultKind::Drain => chosen.iter().for_each(|server| server.draining.set(active)),
+            FaultKind::Hang => chosen.iter().for_each(|server| server.hung.set(active)),
+            FaultKind::Slow(times) => {
+                chosen.iter().for_each(|s| s.slowdown.set(if active { times } else { 1.0 }))
+            }
+            FaultKind::QuickErrors => chosen.iter().for_each(|server| server.failing.set(active)),
+            FaultKind::AnswersLost => chosen.iter().for_each(|server| server.losing_answers.set(active)),
+            FaultKind::ListLies => {
                 let hosts: Vec<Ipv4Addr> = chosen.iter().map(|server| server.host).collect();
-                faults.unlisted = if on { hosts } else { Vec::new() };
+                faults.unlisted = if active { hosts } else { Vec::new() };
             }
-            Kind::ListEmpty => faults.list_empty = on,
-            Kind::RosterDown => faults.roster_down = on,
-            Kind::ListCut => faults.list_cut = on,
-            Kind::RelaysDie if on => relays.iter().for_each(|relay| relay.stop()),
-            Kind::RelaysDie => relays.iter().for_each(|relay| relay.start(world)),
-            Kind::PilotDies if on => {
+            FaultKind::ListEmpty => faults.list_empty = active,
+            FaultKind::RosterDown => faults.roster_down = active,
+            FaultKind::ListCut => faults.list_cut = active,
+            FaultKind::RelaysDie if active => relays.iter().for_each(|relay| relay.stop()),
+            FaultKind::RelaysDie => relays.iter().for_each(|relay| relay.start(world)),
+            FaultKind::PilotDies if active => {
                 pilot.borrow_mut().kill();
-                world.record.note(Event::PilotKilled);
+                world.recorder.record(Event::PilotKilled);
             }
-            Kind::PilotEnds if on => {}
-            Kind::PilotDies | Kind::PilotEnds => {
+            FaultKind::PilotEnds if active => {}
+            FaultKind::PilotDies | FaultKind::PilotEnds => {
                 if pilot.borrow_mut().start(world.script.seed + 1).is_ok() {
-                    world.record.note(Event::PilotStarted);
+                    world.recorder.record(Event::PilotStarted);
                 }
             }
-            Kind::DnsLost => faults.dns_lost = if on { fault.part } else { 0.0 },
-            Kind::DnsLate(late) => faults.dns_late = if on { late } else { 0.0 },
-            Kind::Surge(times) => faults.surge = if on { times } else { 0.0 },
-            Kind::ScrapesHang => faults.scrapes_hang = on,
-            Kind::ReportsReset => {
-                faults.scrapes_hang = on;
+            FaultKind::DnsLost => faults.dns_lost = if active { fault.part } else { 0.0 },
+            FaultKind::DnsLate(delay) => faults.dns_late = if active { delay } else { 0.0 },
+            FaultKind::Surge(times) => faults.surge = if active { times } else { 0.0 },
+            FaultKind::ScrapesHang => faults.scrapes_hang = active,
+            FaultKind::ReportsReset => {
+                faults.scrapes_hang = active;
                 relays.iter().for_each(|relay| relay.reset());
             }
-            Kind::HandLays => pilot.borrow().by_hand(on, world.realm.server(0, 0)),
-            Kind::Restart => {}
+            FaultKind::HandLays => pilot.borrow().override_tables(active, world.realm.server(0, 0)),
+            FaultKind::Restart => {}
         }
     };
-    on(true);
+    set_active(true);
     Timer::after(Duration::from_secs_f64(fault.lasts)).await;
-    on(false);
+    set_active(false);
 }
--- a/standins/src/judge.rs
+++ b/standins/src/judge.rs
@@ -1,49 +1,60 @@
-//! The five rules, checked against what crossed the sockets.
+//! Checks the five rules on the recorded events of a day.
 
 use crate::record::{Entry, Event, State};
-use crate::script::{Kind, Script};
+use crate::script::{FaultKind, Script};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-/// s; timers and sockets of a busy machine are late by so much without anybody's doing.
+/// Seconds by which timers and sockets may be late on a busy machine.
 const SLACK: f64 = 0.25;
 
-/// Part; a cold server that is pushed over is the pilot's doing where so much of the work came from those
-/// who could have known of the start.
-const KNOWING: f64 = 2.0 / 3.0;
+/// The pilot is responsible for the overload of a cold server if at least this share of the work came from askers that
+/// could have known of its start.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// s; the record's clock starts before the script's by up to so much: the pilot is waited for.
-const BEFORE: f64 = 2.0;
+/// Seconds by which the clock of the record may start before that of the script, which waits for the pilot.
+const CLOCK_OFFSET: f64 = 2.0;
 
-/// Whether the script kept answers from askers at some time in a span.
-fn starved(script: &Script, from: f64, to: f64) -> bool {
-    let keeps = |kind: &Kind| matches!(kind, Kind::DnsLost | Kind::PilotDies | Kind::PilotEnds);
-    script.faults.iter().any(|f| keeps(&f.kind) && f.at < to && f.at + f.lasts + BEFORE > from)
+/// Whether a fault of the script may have kept answers from askers at some time in a span.
+fn answers_lost(script: &Script, from: f64, to: f64) -> bool {
+    let relevant =
+        |kind: &FaultKind| matches!(kind, FaultKind::DnsLost | FaultKind::PilotDies | FaultKind::PilotEnds);
+    script.faults.iter().any(|f| relevant(&f.kind) && f.at < to && f.at + f.lasts + CLOCK_OFFSET > from)
 }
 
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Rule and what broke it, at most a few of each.
-    pub broken: Vec<(u8, String)>,
-    pub breaches: [usize; 5],
+    /// The number of a rule and a description of its violation; at most `MAX_DESCRIBED` of each rule.
+    pub violations: Vec<(u8, String)>,
+    /// Number of violations by rule.
+    pub counts: [usize; 5],
+    /// Benefit of all queries.
     pub asked: f64,
+    /// Benefit of queries answered in time.
     pub answered: f64,
+    /// The lowest service in any second.
     pub worst_second: f64,
-    /// The highest load of a cold server over its limit in any window.
-    pub coldest: f64,
-    /// Cold servers that fell over, before anybody could know or not.
-    pub fell: usize,
-    pub most_waiting: f64,
+    /// The highest load of a cold server in any window, over its limit.
+    pub max_cold_load: f64,
+    /// Cold servers that failed under overload, whether or not their start was known.
+    pub failed_cold_servers: usize,
+    /// The highest number of lines waiting in the channel.
+    pub max_waiting: f64,
 }
 
+/// Violations of each rule that are described; further ones are only counted.
+const MAX_DESCRIBED: usize = 5;
+
 impl Verdict {
-    fn breach(&mut self, rule: u8, at: f64, what: String) {
-        self.breaches[usize::from(rule) - 1] += 1;
-        if self.breaches[usize::from(rule) - 1] <= 5 {
-            self.broken.push((rule, format!("{at:.3} s: {what}")));
+    fn add_violation(&mut self, rule: u8, at: f64, description: String) {
+        let count = &mut self.counts[usize::from(rule) - 1];
+        *count += 1;
+        if *count <= MAX_DESCRIBED {
+            self.violations.push((rule, format!("{at:.3} s: {description}")));
         }
     }
 
+    /// Benefit of queries answered in time, over the benefit of all queries.
     pub fn service(&self) -> f64 {
         self.answered / self.asked.max(f64::MIN_POSITIVE)
     }
@@ -52,49 +63,58 @@
 #[derive(Default)]
 struct Server {
     running: bool,
-    /// None: warm since ever.
+    /// Time of a cold start; `None` for a warm one.
     cold_since: Option<f64>,
+    /// Number of its starts so far.
     start: u32,
-    /// Since when the pilot has known of this start.
+    /// Time since which the pilot has known of the latest start.
     known: Option<f64>,
-    /// Time, work, and whether who brought it could have known of the start.
+    /// Time, work, and whether the asker could have known of the start.
     arrivals: VecDeque<(f64, f64, bool)>,
 }
 
-/// What the pilot in office was told of a server last.
+/// The latest state of a server that the current pilot process received.
 #[derive(Clone, Copy, PartialEq)]
-enum Told {
+enum ListedState {
     Ready,
-    Left { since: f64, binds: bool },
+    /// Draining or no longer listed. `binds`: rule 3 applies.
+    Removed {
+        since: f64,
+        binds: bool,
+    },
 }
 
+/// Checks all rules. The rules are: askers have a server to pick (1), queries marked `once` run at most once (2),
+/// nothing is sent to a draining server after the grace period (3), cold servers are not overloaded (4), and the
+/// channel's backlog stays within its limit (5).
 pub fn judge(script: &Script, entries: &[Entry]) -> Verdict {
     let mut verdict = Verdict { worst_second: 1.0, ..Verdict::default() };
     let mut servers: BTreeMap<Ipv4Addr, Server> = BTreeMap::new();
-    let mut told: BTreeMap<Ipv4Addr, Told> = BTreeMap::new();
+    let mut listed_states: BTreeMap<Ipv4Addr, ListedState> = BTreeMap::new();
     let mut ran: BTreeMap<u64, Ipv4Addr> = BTreeMap::new();
-    // Since when each asker has had nothing to pick, by class.
+    // Time since which an asker has had no server to pick for a class.
     let mut without: BTreeMap<(Ipv4Addr, u8), f64> = BTreeMap::new();
+    // Time of the latest answer by asker and class.
     let mut answered: BTreeMap<(Ipv4Addr, u8), f64> = BTreeMap::new();
-    // The answer that each query was sent by. Guards against taking one that came while the query was on its
-    // way, as where an asker goes on with what it has and asks anew at the same time, for that one.
+    // Time of the answer by which each query was sent. An asker may use an old answer and look up a new one at the same
+    // time, so the latest answer may have arrived after the query was sent.
     let mut sent: BTreeMap<u64, f64> = BTreeMap::new();
-    let (mut pilot, mut seconds) = (None, BTreeMap::<u64, (f64, f64)>::new());
+    let (mut pilot_start, mut seconds) = (None, BTreeMap::<u64, (f64, f64)>::new());
     for Entry { at, event } in entries {
         let at = *at;
         match event {
-            Event::PilotStarted => pilot = Some(at),
+            Event::PilotStarted => pilot_start = Some(at),
             Event::PilotKilled => {
-                // The next pilot is told anew.
-                pilot = None;
-                told.clear();
+                // The next pilot process receives the list again.
+                pilot_start = None;
+                listed_states.clear();
             }
             Event::Started { server, cold, start } => {
                 let cold_since = cold.then_some(at);
-                let fresh = Server { running: true, cold_since, start: *start, ..Server::default() };
-                servers.insert(*server, fresh);
+                let state = Server { running: true, cold_since, start: *start, ..Server::default() };
+                servers.insert(*server, state);
             }
-            Event::Fell { .. } => verdict.fell += 1,
+            Event::Fell { .. } => verdict.failed_cold_servers += 1,
             Event::Stopped { server } => servers.entry(*server).or_default().running = false,
             Event::Told(list) => {
                 let listed: BTreeMap<Ipv4Addr, State> =
@@ -105,15 +125,21 @@
                     }
                 }
                 for server in servers.keys() {
-                    let fresh = match listed.get(server) {
-                        Some(State::Ready) => Told::Ready,
-                        left => Told::Left { since: at, binds: left.is_some() || !script.gone_does_not_bind },
+                    let new = match listed.get(server) {
+                        Some(State::Ready) => ListedState::Ready,
+                        other => {
+                            let binds = other.is_some() || !script.gone_does_not_bind;
+                            ListedState::Removed { since: at, binds }
+                        }
                     };
-                    match (told.get(server), fresh) {
-                        // It has left already; a drain goes on when the server is dropped after.
-                        (Some(Told::Left { binds: true, .. }), Told::Left { .. }) => {}
-                        (Some(Told::Left { binds: false, .. }), Told::Left { binds: false, .. }) => {}
-                        (_, fresh) => drop(told.insert(*server, fresh)),
+                    match (listed_states.get(server), new) {
+                        // The time of the first removal counts; a drain also continues when the server is unlisted.
+                        (Some(ListedState::Removed { binds: true, .. }), ListedState::Removed { .. }) => {}
+                        (
+                            Some(ListedState::Removed { binds: false, .. }),
+                            ListedState::Removed { binds: false, .. },
+                        ) => {}
+                        (_, new) => drop(listed_states.insert(*server, new)),
                     }
                 }
             }
@@ -125,61 +151,67 @@
             }
             Event::Without { asker, class } => {
                 let since = *without.entry((*asker, *class)).or_insert(at);
-                let open = told.iter().any(|(server, told)| {
+                let available = listed_states.iter().any(|(server, listed)| {
                     let server = &servers[server];
                     let warm = server.cold_since.is_none_or(|since| at - since >= script.warm_within);
-                    *told == Told::Ready && server.running && warm
+                    *listed == ListedState::Ready && server.running && warm
                 });
-                let since = pilot.map_or(at, |start: f64| start.max(since));
-                if open && at - since > script.without + SLACK {
-                    let what = format!("{asker} has had nothing to pick since {since:.3} s");
-                    verdict.breach(1, at, what);
+                let since = pilot_start.map_or(at, |start: f64| start.max(since));
+                if available && at - since > script.without + SLACK {
+                    let description = format!("{asker} has had no server to pick since {since:.3} s");
+                    verdict.add_violation(1, at, description);
                 }
             }
             Event::Ran { server, class, query } => {
                 let before = ran.insert(*query, *server);
                 if let Some(before) = before.filter(|_| script.classes[usize::from(*class)].once) {
-                    verdict.breach(2, at, format!("query {query} ran at {before} and again at {server}"));
+                    verdict.add_violation(
+                        2,
+                        at,
+                        format!("query {query} ran on {before} and again on {server}"),
+                    );
                 }
             }
             Event::Sent { query, answered } => drop(sent.insert(*query, *answered)),
             Event::Arrival { asker, server, class, query, work } => {
-                let last = sent.get(query).or_else(|| answered.get(&(*asker, *class))).copied();
-                let last = last.unwrap_or(f64::NEG_INFINITY);
-                if let Some(Told::Left { since, binds: true }) = told.get(server) {
-                    let held = f64::from(script.lifetime) + script.overstay + SLACK;
-                    // Whoever goes on with an answer that has run out, as nothing reached it (RFC 8767), goes
-                    // by no word of the pilot's.
-                    let stale = at - last > held && starved(script, *since, at);
+                let answered_at = sent.get(query).or_else(|| answered.get(&(*asker, *class))).copied();
+                let answered_at = answered_at.unwrap_or(f64::NEG_INFINITY);
+                if let Some(ListedState::Removed { since, binds: true }) = listed_states.get(server) {
+                    let max_age = f64::from(script.lifetime) + script.overstay + SLACK;
+                    // The pilot is not responsible for an expired answer that stays in use because no new one
+                    // reached the asker (RFC 8767).
+                    let stale = at - answered_at > max_age && answers_lost(script, *since, at);
                     if at - since > script.grace + SLACK && !stale {
-                        let what = format!("{asker} sends to {server}, known to leave since {since:.3} s");
-                        verdict.breach(3, at, what);
+                        let description = format!(
+                            "{asker} sends to {server}, which drains or is unlisted since {since:.3} s"
+                        );
+                        verdict.add_violation(3, at, description);
                     }
                 }
                 let Some(state) = servers.get_mut(server) else { continue };
                 let Some(since) = state.cold_since.filter(|since| at - since < script.warm_within) else {
                     continue;
                 };
-                // Whoever was answered after the pilot knew of the start, or whose pilot has known it for
-                // the grace, could have known.
-                let could = state.known.is_some_and(|known| last > known || at - known > script.grace);
-                state.arrivals.push_back((at, *work, could));
+                // An asker could have known of the start if its answer came after the pilot knew of it, or if the
+                // pilot has known of it for the grace period.
+                let informed =
+                    state.known.is_some_and(|known| answered_at > known || at - known > script.grace);
+                state.arrivals.push_back((at, *work, informed));
                 state.arrivals.retain(|(then, ..)| at - then <= script.fall_within);
                 let work = |all: bool| -> f64 {
-                    state.arrivals.iter().filter(|(.., could)| all || *could).map(|(_, work, _)| work).sum()
+                    let counted = state.arrivals.iter().filter(|(.., informed)| all || *informed);
+                    counted.map(|(_, work, _)| work).sum()
                 };
-                let (held, known) = (work(true), work(false));
+                let (total, informed) = (work(true), work(false));
                 let share = script.cold_share;
-                let can = (share + (1.0 - share) * (at - since) / script.warm_within) * script.cores as f64;
-                let load = held / (can * script.fall_within * script.fall_multiple);
-                if known >= held * KNOWING {
-                    verdict.coldest = verdict.coldest.max(load);
+                let warm_part = share + (1.0 - share) * (at - since) / script.warm_within;
+                let capacity = warm_part * script.cores as f64;
+                let load = total / (capacity * script.fall_within * script.fall_multiple);
+                if informed >= total * INFORMED_SHARE {
+                    verdict.max_cold_load = verdict.max_cold_load.max(load);
                     if load > 1.0 {
-                        verdict.breach(
-                            4,
-                            at,
-                            format!("{server}, cold, is brought {load:.2} times its limit"),
-                        );
+                        let description = format!("cold server {server} receives {load:.2} times its limit");
+                        verdict.add_violation(4, at, description);
                     }
                 }
             }
@@ -191,15 +223,17 @@
             }
             Event::Verdicts(_) | Event::Finding { .. } => {}
             Event::Waiting(lines) => {
-                verdict.most_waiting = verdict.most_waiting.max(*lines);
+                verdict.max_waiting = verdict.max_waiting.max(*lines);
                 if *lines > script.most_waiting {
-                    verdict.breach(5, at, format!("{lines} lines wait, {} may", script.most_waiting));
+                    let description = format!("{lines} lines wait, the limit is {}", script.most_waiting);
+                    verdict.add_violation(5, at, description);
                 }
             }
         }
     }
-    // The first second has nothing that could have ended in it.
-    let parts = seconds.iter().filter(|(second, _)| **second > 0).map(|(_, (got, all))| got / all);
-    verdict.worst_second = parts.fold(1.0, f64::min);
+    // The first second is left out: hardly any query can have ended in it.
+    let services =
+        seconds.iter().filter(|(second, _)| **second > 0).map(|(_, (answered, asked))| answered / asked);
+    verdict.worst_second = services.fold(1.0, f64::min);
     verdict
 }
--- a/standins/src/record.rs
+++ b/standins/src/record.rs
@@ -1,4 +1,4 @@
-//! What crossed the sockets, one JSON line each. Times are seconds since the day's start.
+//! Events of a day, written as one JSON value per line. Times are in seconds since the start of the record.
 
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -15,26 +15,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// The list went out to the pilot: address, state, and how often each has started.
+    /// The pilot received the server list: address, state and number of starts of each server.
     Told(Vec<(Ipv4Addr, State, u32)>),
-    /// An asker got an answer: the lines that it may pick from now.
+    /// An asker received an answer, whose lines it uses from now on.
     Answer {
         asker: Ipv4Addr,
         class: u8,
         lines: Vec<(Ipv4Addr, u16)>,
     },
-    /// An asker had nothing to pick from.
+    /// An asker had no server to pick for a query.
     Without {
         asker: Ipv4Addr,
         class: u8,
     },
-    /// An asker sends a query by what it was answered at `answered`; an answer that comes while the query is
-    /// on its way is not what it went by.
+    /// An asker sends a query to a server from the answer that it received at `answered`. A newer answer may arrive
+    /// before the query reaches the server.
     Sent {
         query: u64,
         answered: f64,
     },
-    /// A query reached a server: its work in seconds of a core.
+    /// A query reached a server; `work` is in core seconds.
     Arrival {
         asker: Ipv4Addr,
         server: Ipv4Addr,
@@ -42,26 +42,26 @@
         query: u64,
         work: f64,
     },
-    /// A server began to do it.
+    /// A server started to process a query.
     Ran {
         server: Ipv4Addr,
         class: u8,
         query: u64,
     },
-    /// A server started, for the so-manieth time; warm from then on, or cold.
+    /// A server started, cold or warm; `start` is the number of its starts so far.
     Started {
         server: Ipv4Addr,
         cold: bool,
         start: u32,
     },
-    /// A cold server fell over.
+    /// A cold server failed under overload.
     Fell {
         server: Ipv4Addr,
     },
     Stopped {
         server: Ipv4Addr,
     },
-    /// A query of a client ended: the benefit asked for, and what was answered in time.
+    /// A client's query ended: the benefit of an answer in time, and the benefit achieved.
     Ended {
         query: u64,
         class: u8,
@@ -70,11 +70,11 @@
     },
     PilotStarted,
     PilotKilled,
-    /// Lines that wait in the pilot's channel, as it states.
+    /// Number of lines waiting in the pilot's channel, from its status page.
     Waiting(f64),
-    /// Verdicts of the pilot's guard on that day.
+    /// Number of verdicts of the pilot's guard on the day.
     Verdicts(f64),
-    /// One that was not fine, as the guard told it at the day's end.
+    /// A finding of the guard, queried at the end of the day.
     Finding {
         check: String,
         servers: Vec<Ipv4Addr>,
@@ -102,26 +102,28 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    pub fn note(&self, event: Event) {
-        self.note_at(self.now(), event);
+    pub fn record(&self, event: Event) {
+        self.record_at(self.now(), event);
     }
 
-    /// Something that happened before.
-    pub fn note_at(&self, at: f64, event: Event) {
+    /// Records an event of an earlier time.
+    pub fn record_at(&self, at: f64, event: Event) {
         self.entries.borrow_mut().push(Entry { at, event });
     }
 
+    /// Removes and returns all entries recorded so far.
     pub fn take(&self) -> Vec<Entry> {
         self.entries.take()
     }
 
-    /// Benefit answered in time and asked for, of queries that ended since a moment.
+    /// Returns the benefit achieved by queries that ended after a time, and the benefit if all had been answered in
+    /// time.
     pub fn service_since(&self, since: f64) -> (f64, f64) {
         let entries = self.entries.borrow();
-        let late = entries.iter().rev().take_while(|entry| entry.at > since);
-        late.fold((0.0, 0.0), |(got, all), entry| match entry.event {
-            Event::Ended { asked, answered, .. } => (got + answered, all + asked),
-            _ => (got, all),
+        let recent = entries.iter().rev().take_while(|entry| entry.at > since);
+        recent.fold((0.0, 0.0), |(achieved, possible), entry| match entry.event {
+            Event::Ended { asked, answered, .. } => (achieved + answered, possible + asked),
+            _ => (achieved, possible),
         })
     }
 }
--- a/standins/src/script.rs
+++ b/standins/src/script.rs
@@ -1,4 +1,4 @@
-//! A day's script: the fleet, its load, and what goes wrong when. JSON; times are seconds.
+//! The script of a day: the fleet, its load and its faults, as JSON. Times are in seconds.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -7,74 +7,89 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
+    /// Duration of the day.
     pub seconds: f64,
     pub seed: u64,
     pub zones: u8,
-    /// In each zone.
+    /// Servers per zone.
     pub servers: u8,
+    /// Relays per zone.
     pub relays: u8,
+    /// Terminals per zone.
     pub terminals: u8,
+    /// Cores of each server.
     pub cores: usize,
-    /// Queries a second of all relays, and of all terminals.
+    /// Queries per second of all relays.
     pub relay_rate: f64,
+    /// Queries per second of all terminals.
     pub terminal_rate: f64,
     pub classes: Vec<Class>,
+    /// TTL of DNS answers.
     pub lifetime: u32,
+    /// Longest time for which terminals use an answer after its TTL.
     pub overstay: f64,
+    /// Grace period after which nothing may be sent to a draining server (rule 3).
     pub grace: f64,
+    /// Longest time for which an asker may have no server to pick (rule 1).
     pub without: f64,
+    /// Share of its capacity that a cold server has when it starts.
     pub cold_share: f64,
+    /// Time from a cold start until a server is warm.
     pub warm_within: f64,
+    /// A cold server fails at a load of this multiple of its current capacity.
     pub fall_multiple: f64,
+    /// Window over which the load of a cold server is measured.
     pub fall_within: f64,
-    /// The roster tells of a change so much later.
+    /// Delay with which the roster reflects a change.
     pub list_late: f64,
+    /// Rule 3 does not apply to servers that are unlisted without a drain.
     pub gone_does_not_bind: bool,
-    /// How relays come by their tables.
+    /// How relays get their tables.
     #[serde(default)]
     pub relays_by: Front,
-    /// The mode of the pilot's guard; none without.
+    /// The mode of the pilot's guard; without it there is no guard.
     #[serde(default)]
     pub guard: Option<String>,
-    /// The first terminal of each zone is a resolver that hands its answers on to so many.
+    /// Number of terminals behind the first terminal of each zone, which acts as their resolver.
     #[serde(default = "one")]
     pub resolver: f64,
-    /// Times their lifetime that resolvers keep answers.
+    /// Multiple of the TTL for which resolvers cache answers.
     #[serde(default = "one")]
     pub keep: f64,
-    /// The pilot keeps a ledger of what it hands out.
+    /// The pilot keeps a ledger of handed-out addresses.
     #[serde(default)]
     pub ledger: bool,
-    /// What servers and ways cost; none without.
+    /// Prices of servers and links.
     #[serde(default)]
     pub costs: Option<Costs>,
     #[serde(default)]
     pub faults: Vec<Fault>,
+    /// Limit of the lines that wait in the pilot's channel (rule 5).
     pub most_waiting: f64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Costs {
-    /// Of a query, by zone.
+    /// Price of a query by the zone of the server.
     pub zones: Vec<f64>,
-    /// Of a query that leaves its zone.
+    /// Additional price of a query to another zone.
     pub crossing: f64,
-    /// Part of what servers can do that the best plan leaves free, and the pilot's plans.
+    /// Share of the capacity that plans leave free, both the pilot's and the one for the lowest possible cost.
     pub headroom: f64,
-    /// The pilot is told of the prices.
+    /// The prices are configured in the pilot.
     pub told: bool,
-    /// Queries a second of a server, as the pilot is told; it learns them where left out.
+    /// Capacity of a server in queries per second, as configured in the pilot. Without it the pilot estimates it.
     #[serde(default)]
     pub carries: Option<f64>,
 }
 
-/// A rule of thumb that askers go by instead of the pilot's answers.
+/// A simple policy by which askers choose servers instead of by the pilot's answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Instead {
-    /// All listed servers evenly.
+pub enum Baseline {
+    /// All listed servers with equal weights.
     Even,
-    /// All listed servers of the cheapest zone evenly.
+    /// All listed servers of the cheapest zone with equal weights.
     Cheapest,
 }
 
@@ -87,13 +102,13 @@
     State,
     /// xDS, incremental.
     Delta,
-    /// One relay each in turn.
+    /// The three in turn, by the number of the relay.
     All,
 }
 
 impl Front {
-    /// The front of a relay.
-    pub fn of(self, relay: u8) -> Front {
+    /// The front that a relay uses.
+    pub fn for_relay(self, relay: u8) -> Front {
         match self {
             Front::All => [Front::Dns, Front::State, Front::Delta][usize::from(relay % 3)],
             own => own,
@@ -105,13 +120,16 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
+    /// Share of all queries, relative to the other classes.
     pub part: f64,
-    /// s of a core.
+    /// Mean work of a query in core seconds.
     pub work: f64,
+    /// Time within which an answer has a benefit.
     pub due: f64,
+    /// Time after which a client abandons a query.
     pub abandon: f64,
     pub benefit: f64,
-    /// Must never run twice.
+    /// A query must not run more than once.
     pub once: bool,
 }
 
@@ -121,11 +139,11 @@
     pub at: f64,
     #[serde(rename = "for")]
     pub lasts: f64,
-    pub kind: Kind,
-    /// Whom it hits: those of a zone, or of all.
+    pub kind: FaultKind,
+    /// The affected zone; without it, all zones.
     #[serde(default)]
     pub zone: Option<u8>,
-    /// The part of them that it hits.
+    /// Share of the servers or relays that are affected; for `dns_lost`, of the queries.
     #[serde(default = "whole")]
     pub part: f64,
 }
@@ -140,58 +158,77 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// Servers die and come back cold at the end.
+pub enum FaultKind {
+    /// Servers stop and start cold at the end.
     Crash,
-    /// Servers restart cold at once.
+    /// Servers restart cold immediately.
     Restart,
+    /// Servers drain and refuse queries.
     Drain,
+    /// Servers don't respond.
     Hang,
+    /// The processing time of servers is multiplied.
     Slow(f64),
+    /// Servers fail every query immediately.
     QuickErrors,
+    /// Servers process queries, but half of the answers are lost.
     AnswersLost,
-    /// The list calls them gone.
+    /// Servers are missing from the roster's list.
     ListLies,
+    /// The roster's list is empty.
     ListEmpty,
+    /// The roster responds with status 500.
     RosterDown,
-    /// Documents are cut off in the middle.
+    /// The roster's list is truncated in the middle.
     ListCut,
+    /// Relays stop and start again at the end.
     RelaysDie,
+    /// The pilot is killed and started again at the end.
     PilotDies,
-    /// The pilot is asked to end, killed at the earliest after that, and started again at the end.
+    /// The pilot receives SIGTERM, is killed if it still runs after the grace period, and is started again at the end.
     PilotEnds,
+    /// A share of the DNS queries is lost.
     DnsLost,
+    /// DNS queries are delayed.
     DnsLate(f64),
+    /// Metrics and load reports are not delivered.
     ScrapesHang,
-    /// Counters start anew at the end, and can't be read before.
+    /// The same, and the relays' counters are reset.
     ReportsReset,
-    /// So many times the queries come.
+    /// The rate of queries is multiplied.
     Surge(f64),
-    /// Somebody lays every table by hand: one server gets everything.
+    /// A manual override of every table sends all queries to one server.
     HandLays,
 }
 
 impl Script {
-    /// Errors: what is wrong, in words.
+    /// Parses and validates a script.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the error.
     pub fn read(text: &str) -> Result<Script, String> {
         let script: Script = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let fits = (1..=8).contains(&script.zones) && script.servers > 0 && !script.classes.is_empty();
         let sizes = [script.servers, script.relays, script.terminals].iter().all(|n| *n <= 200);
         let priced = script.costs.as_ref().is_none_or(|c| c.zones.len() == usize::from(script.zones));
         if !(fits && sizes && priced && script.seconds > 0.0 && script.cores > 0) {
-            return Err("1 to 8 zones, 1 to 200 servers a zone, one class or more, a time, a price a zone"
+            return Err("a script needs 1 to 8 zones, 1 to 200 servers and at most 200 relays and terminals per \
+                        zone, at least one class and one core, a positive duration, and with costs a price for \
+                        each zone"
                 .to_string());
         }
         Ok(script)
     }
 }
 
-/// Where everything of a run sits: `127.(10 * realm + zone).kind.number`, so that runs don't meet.
+/// The loopback addresses of a run, `127.(10 * realm + zone + 1).kind.(n + 1)`; concurrent runs use different realms.
 #[derive(Clone, Copy, Debug)]
 pub struct Realm {
     pub number: u8,
-    /// Where the pilot is to listen, if elsewhere.
+    /// Address of the pilot's DNS front, instead of the realm's.
     pub dns: Option<SocketAddr>,
+    /// Address of the pilot's status page, instead of the realm's.
     pub status: Option<SocketAddr>,
 }
 
@@ -224,14 +261,14 @@
         ([127, 10 * self.number, 0, 2], 7100).into()
     }
 
-    /// Settings of a pilot for such a fleet.
-    pub fn settings(self, script: &Script, cache: &str) -> Value {
+    /// Returns the settings of a pilot for the fleet of a script.
+    pub fn pilot_settings(self, script: &Script, cache: &str) -> Value {
         let zones: Vec<String> = (0..script.zones).map(|zone| format!("zone-{zone}")).collect();
         let (mut askers, relays) = (Vec::new(), f64::from(script.relays) * f64::from(script.zones));
         for zone in 0..script.zones {
             for n in 0..script.relays {
                 let host = self.relay(zone, n);
-                if script.relays_by.of(n) != Front::Dns {
+                if script.relays_by.for_relay(n) != Front::Dns {
                     askers.push(json!({"name": format!("relay-{zone}-{n}"), "node": host.to_string(),
                         "zone": zones[usize::from(zone)], "usual_rate": script.relay_rate / relays}));
                     continue;
--- a/standins/src/soak/plan.rs
+++ b/standins/src/soak/plan.rs
@@ -62,8 +62,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends signals to a pilot, `gap` seconds apart. After a SIGTERM the pilot is killed if it still runs at the end
-    /// of the grace period, and restarted. With `suspended`, the process is stopped before and while the signals are sent,
-    /// so that it handles them together with all client requests that have arrived meanwhile.
+    /// of the grace period, and restarted. With `suspended`, the process is stopped before and while the signals are
+    /// sent, so that it handles them together with all client requests that have arrived meanwhile.
     Signals { pilot: usize, signals: Vec<Signal>, gap: f64, suspended: bool },
     /// Kills a pilot without a preceding SIGTERM and restarts it.
     Kill { pilot: usize },
--- a/standins/src/web.rs
+++ b/standins/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for the stand-ins.
+//! HTTP/1.1 server of the stand-ins.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// Serves until it is dropped, connections with it. A taken address is tried again: the one before may
-/// just be closing.
-pub async fn serve<F, R>(host: SocketAddr, executor: Rc<LocalExecutor<'static>>, answer: F)
+/// Serves until it is dropped, which also closes all connections. Binding is retried, as the previous listener on the
+/// address may not be closed yet.
+pub async fn serve<F, R>(host: SocketAddr, executor: Rc<LocalExecutor<'static>>, handler: F)
 where
     F: Fn(String, SocketAddr) -> R + Clone + 'static,
     R: Future<Output = (u16, String)> + 'static,
@@ -31,11 +31,11 @@
     let tasks = RefCell::new(Vec::new());
     loop {
         let Ok((stream, source)) = listener.accept().await else { continue };
-        let answer = answer.clone();
+        let handler = handler.clone();
         let service = service_fn(move |request: Request<Incoming>| {
-            let answered = answer(request.uri().path().to_string(), source);
+            let result = handler(request.uri().path().to_string(), source);
             async move {
-                let (status, text) = answered.await;
+                let (status, text) = result.await;
                 let mut response = Response::new(Full::new(Bytes::from(text)));
                 *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
                 let date = httpdate::fmt_http_date(SystemTime::now());
@@ -45,18 +45,18 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        let talk = async move {
+        let connection = async move {
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(FuturesIo::new(stream), service)
                 .await;
         };
-        let mut open = tasks.borrow_mut();
-        open.retain(|task: &async_executor::Task<()>| !task.is_finished());
-        open.push(executor.spawn(talk));
+        let mut tasks = tasks.borrow_mut();
+        tasks.retain(|task: &async_executor::Task<()>| !task.is_finished());
+        tasks.push(executor.spawn(connection));
     }
 }
 
-/// Counters as OpenMetrics text.
+/// Encodes metrics as OpenMetrics text.
 pub fn metrics(registry: &Registry) -> String {
     let mut text = String::new();
     prometheus_client::encoding::text::encode(&mut text, registry).unwrap_or_default();
--- a/standins/src/world.rs
+++ b/standins/src/world.rs
@@ -1,8 +1,8 @@
-//! What all stand-ins of a run share.
+//! State that all stand-ins of a run share, and the roster.
 
 use crate::askers::Asker;
 use crate::record::{Event, Recorder, State};
-use crate::script::{Instead, Realm, Script};
+use crate::script::{Baseline, Realm, Script};
 use crate::servers::Server;
 use crate::web;
 use async_executor::LocalExecutor;
@@ -14,108 +14,114 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Faults that hit more than servers.
+/// Active faults of everything but servers, relays and the pilot.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
+    /// Metrics and load reports are not delivered.
     pub scrapes_hang: bool,
+    /// Share of DNS queries that are lost.
     pub dns_lost: f64,
+    /// Delay of DNS queries in seconds.
     pub dns_late: f64,
     pub roster_down: bool,
     pub list_cut: bool,
     pub list_empty: bool,
-    /// Servers that the list calls gone.
+    /// Running servers that are missing from the list.
     pub unlisted: Vec<Ipv4Addr>,
-    /// Times the usual queries that come; 0 as long as nothing is said.
+    /// Multiple of the usual rate of queries; 0 for none.
     pub surge: f64,
 }
 
-/// A server as the roster names it: address, zone, state, Unix time of its start; and its starts so far.
-pub type Named = (Ipv4Addr, u8, State, f64, u32);
+/// A server in the roster: address, zone, state, Unix time of its start, and number of its starts.
+pub type ListedServer = (Ipv4Addr, u8, State, f64, u32);
 
 pub struct World {
     pub script: Script,
     pub realm: Realm,
     pub executor: Rc<LocalExecutor<'static>>,
-    pub record: Recorder,
+    pub recorder: Recorder,
     pub faults: RefCell<Faults>,
     pub servers: RefCell<Vec<Rc<Server>>>,
     pub askers: RefCell<Vec<Rc<Asker>>>,
-    /// What askers go by instead of the pilot's answers.
-    pub instead: Option<Instead>,
+    /// Replaces the pilot's answers.
+    pub baseline: Option<Baseline>,
+    /// Number of queries so far.
     pub queries: Cell<u64>,
-    chance: RefCell<fastrand::Rng>,
-    /// What was true at each moment; the roster tells it late.
-    truth: RefCell<VecDeque<(f64, Vec<Named>)>>,
+    rng: RefCell<fastrand::Rng>,
+    /// Recent states of the servers by time, from which the roster takes a delayed one.
+    history: RefCell<VecDeque<(f64, Vec<ListedServer>)>>,
 }
 
 impl World {
     pub fn new(
         script: Script,
         realm: Realm,
-        instead: Option<Instead>,
+        baseline: Option<Baseline>,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         Rc::new(World {
-            chance: RefCell::new(fastrand::Rng::with_seed(script.seed)),
+            rng: RefCell::new(fastrand::Rng::with_seed(script.seed)),
             script,
             realm,
             executor,
-            record: Recorder::start(),
+            recorder: Recorder::start(),
             faults: RefCell::default(),
             servers: RefCell::default(),
             askers: RefCell::default(),
-            instead,
+            baseline,
             queries: Cell::new(0),
-            truth: RefCell::default(),
+            history: RefCell::default(),
         })
     }
 
     pub fn now(&self) -> f64 {
-        self.record.now()
+        self.recorder.now()
     }
 
-    pub fn chance(&self) -> f64 {
-        self.chance.borrow_mut().f64()
+    /// Returns a random number in `0.0..1.0`.
+    pub fn random(&self) -> f64 {
+        self.rng.borrow_mut().f64()
     }
 
-    /// The list as the roster tells it now: what was true a while ago, less what it gets wrong.
-    pub fn listed(&self) -> Vec<Named> {
+    /// Returns the roster's current list: the servers' delayed states, changed by active faults.
+    pub fn roster_list(&self) -> Vec<ListedServer> {
         let now = self.now();
         let servers = self.servers.borrow();
         let running = servers.iter().filter(|server| server.running.get()).map(|server| {
             let state = if server.draining.get() { State::Draining } else { State::Ready };
             (server.host, server.zone, state, server.started_unix.get(), server.starts.get())
         });
-        let mut truth = self.truth.borrow_mut();
-        truth.push_back((now, running.collect()));
-        while truth.get(1).is_some_and(|(at, _)| now - at >= self.script.list_late) {
-            truth.pop_front();
+        let mut history = self.history.borrow_mut();
+        history.push_back((now, running.collect()));
+        while history.get(1).is_some_and(|(at, _)| now - at >= self.script.list_late) {
+            history.pop_front();
         }
         let faults = self.faults.borrow();
-        let told = truth.front().map(|(_, list)| list.clone()).unwrap_or_default();
-        let kept =
-            told.into_iter().filter(|(host, ..)| !faults.list_empty && !faults.unlisted.contains(host));
-        kept.collect()
+        let delayed = history.front().map(|(_, list)| list.clone()).unwrap_or_default();
+        let listed =
+            delayed.into_iter().filter(|(host, ..)| !faults.list_empty && !faults.unlisted.contains(host));
+        listed.collect()
     }
 
-    /// What a rule of thumb makes of the list; none where askers go by the pilot.
-    pub fn by_rule(&self) -> Option<Vec<(Ipv4Addr, u16)>> {
-        let instead = self.instead?;
+    /// Returns the lines that the baseline policy chooses from the list; `None` without such a policy.
+    pub fn baseline_lines(&self) -> Option<Vec<(Ipv4Addr, u16)>> {
+        let baseline = self.baseline?;
         let price = |zone: u8| self.script.costs.as_ref().map_or(0.0, |costs| costs.zones[usize::from(zone)]);
-        let listed = self.listed();
-        let least = listed.iter().map(|(_, zone, ..)| price(*zone)).fold(f64::INFINITY, f64::min);
-        let taken =
-            listed.into_iter().filter(|(_, zone, ..)| instead == Instead::Even || price(*zone) <= least);
-        Some(taken.map(|(host, ..)| (host, 1)).collect())
+        let listed = self.roster_list();
+        let lowest = listed.iter().map(|(_, zone, ..)| price(*zone)).fold(f64::INFINITY, f64::min);
+        let chosen =
+            listed.into_iter().filter(|(_, zone, ..)| baseline == Baseline::Even || price(*zone) <= lowest);
+        Some(chosen.map(|(host, ..)| (host, 1)).collect())
     }
 
-    /// The roster: Prometheus HTTP service discovery.
-    pub async fn roster(self: Rc<Self>) {
+    /// Serves the roster in the format of Prometheus HTTP service discovery.
+    pub async fn serve_roster(self: Rc<Self>) {
         let host = self.realm.roster();
         let world = self.clone();
-        let keep_up = async {
+        // The history is extended at regular intervals, also when nobody requests the list.
+        let update_history = async {
             loop {
-                world.listed();
+                world.roster_list();
                 Timer::after(Duration::from_millis(100)).await;
             }
         };
@@ -123,12 +129,12 @@
         let serve = web::serve(host, self.executor.clone(), move |_, _| {
             let world = world.clone();
             async move {
-                let listed = world.listed();
+                let listed = world.roster_list();
                 let faults = world.faults.borrow().clone();
                 if faults.roster_down {
                     return (500, String::new());
                 }
-                let group = |(host, zone, state, started, _): &Named| {
+                let group = |(host, zone, state, started, _): &ListedServer| {
                     let port = crate::script::SERVICE_PORT;
                     let state = if *state == State::Draining { "draining" } else { "ready" };
                     json!({"targets": [format!("{host}:{port}")], "labels": {"zone": format!("zone-{zone}"),
@@ -139,12 +145,12 @@
                 if faults.list_cut {
                     return (200, text[..text.len() / 2].to_string());
                 }
-                let told =
+                let list =
                     listed.iter().map(|(host, _, state, _, starts)| (*host, *state, *starts)).collect();
-                world.record.note(Event::Told(told));
+                world.recorder.record(Event::Told(list));
                 (200, text)
             }
         });
-        futures_lite::future::or(keep_up, serve).await
+        futures_lite::future::or(update_history, serve).await
     }
 }
--- a/standins/tests/demo.rs
+++ b/standins/tests/demo.rs
@@ -1,8 +1,7 @@
-//! The demo's pilot ends with the demo, however that ends, and the demo with its pilot.
+//! The demo's pilot must end with the demo, even if that is killed, and the demo must end if its pilot does.
 //!
-//! What users saw: after a demo was ended by SIGTERM its pilot went on as an orphan and held the ports; the pilot of
-//! the next demo ended at once as its ports were taken, and that demo printed its first line, nothing more, and did
-//! not end. Nothing tied the two processes together, and nobody looked whether the pilot still ran.
+//! Guards against orphaned pilots: a pilot that outlived its demo kept the ports, so that the next demo's pilot exited
+//! at once, and that demo hung after its first line because it didn't notice the exit.
 
 #![cfg(target_os = "linux")]
 
@@ -10,16 +9,16 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// More than any step takes on a busy machine; reached only where something is wrong.
-const LONG: Duration = Duration::from_secs(20);
+/// Timeout of each wait, far above what a step takes on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A demo that is on its way: its first second was told.
+/// A running demo that has printed its first second.
 struct Demo {
     child: Child,
     pilot: u32,
 }
 
-fn demo(realm: u8, seconds: &str) -> Command {
+fn demo_command(realm: u8, seconds: &str) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oatlever-standins"));
     command.args(["demo", "--realm", &realm.to_string(), "--seconds", seconds]);
     command
@@ -31,15 +30,15 @@
     text.split_whitespace().map(|id| id.parse().unwrap()).collect()
 }
 
-fn runs(process: u32) -> bool {
+fn is_running(process: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"));
     stat.is_ok_and(|stat| !stat.contains(") Z "))
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < LONG, "never: {what}");
+fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timeout: {description}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -50,32 +49,33 @@
 
 impl Demo {
     fn start(realm: u8) -> Demo {
-        let mut child = demo(realm, "60").stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+        let mut child =
+            demo_command(realm, "60").stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines().map_while(Result::ok);
-        assert!(lines.any(|line| line.contains("1 s  service")), "the demo does not begin");
-        // What it prints is read on, so that it never waits for a full pipe.
+        assert!(lines.any(|line| line.contains("1 s  service")), "the demo does not start");
+        // The rest is read as well, as a full pipe would block the demo.
         std::thread::spawn(move || lines.for_each(drop));
         let pilots = children(child.id());
         assert_eq!(pilots.len(), 1);
         Demo { child, pilot: pilots[0] }
     }
 
-    /// Its exit status and what it said to standard error.
-    fn end(mut self) -> (Option<i32>, String) {
-        let begun = Instant::now();
+    /// Waits for the exit; returns the exit status and standard error.
+    fn wait(mut self) -> (Option<i32>, String) {
+        let start = Instant::now();
         let status = loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status;
             }
-            if begun.elapsed() > LONG {
+            if start.elapsed() > TIMEOUT {
                 self.child.kill().unwrap();
-                panic!("the demo does not end");
+                panic!("the demo does not exit");
             }
             std::thread::sleep(Duration::from_millis(5));
         };
-        let mut said = String::new();
-        self.child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-        (status.code(), said)
+        let mut errors = String::new();
+        self.child.stderr.take().unwrap().read_to_string(&mut errors).unwrap();
+        (status.code(), errors)
     }
 }
 
@@ -86,33 +86,33 @@
         let demo = Demo::start(REALM);
         let pilot = demo.pilot;
         signal(demo.child.id(), name);
-        demo.end();
-        until("the pilot has ended", || !runs(pilot));
+        demo.wait();
+        wait_until("the pilot has exited", || !is_running(pilot));
     }
-    let played = demo(REALM, "1").output().unwrap();
-    assert_eq!(played.status.code(), Some(0), "{}", String::from_utf8_lossy(&played.stderr));
+    let output = demo_command(REALM, "1").output().unwrap();
+    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
 #[test]
 fn the_demo_ends_with_its_pilot() {
     let demo = Demo::start(8);
     signal(demo.pilot, "-KILL");
-    let (status, said) = demo.end();
-    assert_eq!(status, Some(2), "{said}");
-    assert!(said.contains("the pilot ended by itself"), "{said}");
+    let (status, errors) = demo.wait();
+    assert_eq!(status, Some(2), "{errors}");
+    assert!(errors.contains("the pilot exited unexpectedly"), "{errors}");
 }
 
 #[test]
-fn a_pilot_that_does_not_start_ends_the_demo_with_its_last_words() {
+fn a_demo_whose_pilot_fails_to_start_prints_its_last_log_line() {
     const REALM: u8 = 9;
     let first = Demo::start(REALM);
     let pilot = first.pilot;
-    let mut second = demo(REALM, "5").stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
-    let mut said = String::new();
-    second.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    assert_eq!(second.wait().unwrap().code(), Some(2), "{said}");
-    assert!(said.contains("cannot listen on"), "{said}");
+    let mut second = demo_command(REALM, "5").stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
+    let mut errors = String::new();
+    second.stderr.take().unwrap().read_to_string(&mut errors).unwrap();
+    assert_eq!(second.wait().unwrap().code(), Some(2), "{errors}");
+    assert!(errors.contains("cannot listen on"), "{errors}");
     signal(first.child.id(), "-TERM");
-    first.end();
-    until("the pilot has ended", || !runs(pilot));
+    first.wait();
+    wait_until("the pilot has exited", || !is_running(pilot));
 }
--- a/standins/tests/judge.rs
+++ b/standins/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge must catch a planted breach of each rule, and nothing in a day that keeps them.
+//! The `judge` command must find a violation of each rule, and none in a record without violations.
 
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
     script
 }
 
-/// A quiet day: two warm servers, a relay that holds both.
-fn quiet() -> Vec<Value> {
+/// A record without violations: two warm servers, and a relay whose answer has both.
+fn valid_record() -> Vec<Value> {
     let ended = |at: f64| json!({"at": at, "ended": {"query": 1, "class": 0, "asked": 1, "answered": 1}});
     vec![
         json!({"at": 0.0, "started": {"server": SERVER, "cold": false, "start": 1}}),
@@ -30,22 +30,23 @@
     ]
 }
 
-/// Exit status and report of the judge on a record with these entries after the quiet ones.
-fn judged(name: &str, more: &[Value]) -> (Option<i32>, String) {
-    judged_by(script(), name, more)
+/// Runs `judge` on the valid record with further entries; returns the exit status and the output.
+fn judge(name: &str, more: &[Value]) -> (Option<i32>, String) {
+    judge_with_script(script(), name, more)
 }
 
-fn judged_by(script: Value, name: &str, more: &[Value]) -> (Option<i32>, String) {
+fn judge_with_script(script: Value, name: &str, more: &[Value]) -> (Option<i32>, String) {
     let path: PathBuf = std::env::temp_dir().join(format!("oatlever-judge-{}-{name}", std::process::id()));
     let mut lines = vec![script];
-    lines.extend(quiet());
+    lines.extend(valid_record());
     lines.extend_from_slice(more);
     let text: Vec<String> = lines.iter().map(Value::to_string).collect();
     std::fs::write(&path, text.join("\n")).unwrap();
-    let done =
+    let output =
         Command::new(env!("CARGO_BIN_EXE_oatlever-standins")).arg("judge").arg(&path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
-    (done.status.code(), String::from_utf8(done.stdout).unwrap() + &String::from_utf8(done.stderr).unwrap())
+    let report = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
+    (output.status.code(), report)
 }
 
 fn arrival(at: f64, server: &str, work: f64) -> Value {
@@ -53,104 +54,104 @@
 }
 
 #[test]
-fn a_day_that_keeps_the_rules_passes() {
-    let (code, report) = judged("quiet", &[]);
+fn a_valid_record_passes() {
+    let (code, report) = judge("valid", &[]);
     assert_eq!(code, Some(0), "{report}");
 }
 
 #[test]
-fn a_relay_without_lines_is_seen() {
+fn a_relay_without_a_server_is_found() {
     let without = |at: f64| json!({"at": at, "without": {"asker": RELAY, "class": 0}});
-    assert_eq!(judged("without-short", &[without(2.0), without(4.9)]).0, Some(0));
-    let (code, report) = judged("without", &[without(2.0), without(6.0)]);
+    assert_eq!(judge("without-short", &[without(2.0), without(4.9)]).0, Some(0));
+    let (code, report) = judge("without", &[without(2.0), without(6.0)]);
     assert_eq!(code, Some(1));
     assert!(report.contains("rule 1 broken"), "{report}");
-    // Nobody is to blame while no warm server is listed.
+    // Rule 1 does not apply while no warm server is listed.
     let empty = json!({"at": 1.5, "told": []});
-    assert_eq!(judged("without-empty", &[empty, without(2.0), without(6.0)]).0, Some(0));
+    assert_eq!(judge("without-empty", &[empty, without(2.0), without(6.0)]).0, Some(0));
 }
 
 #[test]
-fn an_effect_twice_is_seen() {
+fn a_query_that_runs_twice_is_found() {
     let (code, report) =
-        judged("twice", &[json!({"at": 2.0, "ran": {"server": OTHER, "class": 2, "query": 1}})]);
+        judge("twice", &[json!({"at": 2.0, "ran": {"server": OTHER, "class": 2, "query": 1}})]);
     assert_eq!(code, Some(1));
     assert!(report.contains("rule 2 broken"), "{report}");
     let safe = json!({"at": 2.0, "ran": {"server": OTHER, "class": 0, "query": 7}});
-    assert_eq!(judged("twice-safe", &[safe.clone(), safe]).0, Some(0));
+    assert_eq!(judge("twice-safe", &[safe.clone(), safe]).0, Some(0));
 }
 
 #[test]
-fn a_drain_not_kept_is_seen_whatever_follows_it() {
+fn a_query_to_a_drained_server_is_found_after_it_is_unlisted() {
     let drain = json!({"at": 2.0, "told": [[SERVER, "draining", 1], [OTHER, "ready", 1]]});
     let gone = json!({"at": 4.0, "told": [[OTHER, "ready", 1]]});
-    assert_eq!(judged("drain-kept", &[drain.clone(), arrival(4.5, SERVER, 0.1)]).0, Some(0));
-    let (code, report) = judged("drain", &[drain, gone, arrival(6.0, SERVER, 0.1)]);
+    assert_eq!(judge("drain-kept", &[drain.clone(), arrival(4.5, SERVER, 0.1)]).0, Some(0));
+    let (code, report) = judge("drain", &[drain, gone, arrival(6.0, SERVER, 0.1)]);
     assert_eq!(code, Some(1));
     assert!(report.contains("rule 3 broken"), "{report}");
 }
 
 #[test]
-fn a_cold_server_pushed_over_is_seen() {
-    // 0.15 of 3 cores, 2 s, times 2.5: 2.25 s of work at the start.
+fn an_overloaded_cold_server_is_found() {
+    // The limit at the start is 0.15 of 3 cores for 2 s, times 2.5: 2.25 core seconds.
     let cold = json!({"at": 2.0, "started": {"server": SERVER, "cold": true, "start": 2}});
     let told = json!({"at": 2.05, "told": [[SERVER, "ready", 2], [OTHER, "ready", 1]]});
     let answer = json!({"at": 2.06, "answer": {"asker": RELAY, "class": 0, "lines": [[SERVER, 1]]}});
     let mut day = vec![cold.clone(), told, answer];
     let some: Vec<Value> = (0..8).map(|n| arrival(2.1 + f64::from(n) * 0.01, SERVER, 0.25)).collect();
     day.extend(some.clone());
-    assert_eq!(judged("cold-kept", &day).0, Some(0));
+    assert_eq!(judge("cold-kept", &day).0, Some(0));
     day.push(arrival(2.3, SERVER, 0.8));
-    let (code, report) = judged("cold", &day);
+    let (code, report) = judge("cold", &day);
     assert_eq!(code, Some(1));
     assert!(report.contains("rule 4 broken"), "{report}");
-    // The same before the list tells of the start is nobody's doing.
+    // Rule 4 does not apply before the list reflects the start.
     let mut unknown = vec![cold];
     unknown.extend(some);
     unknown.push(arrival(2.3, SERVER, 0.8));
-    assert_eq!(judged("cold-unknown", &unknown).0, Some(0));
+    assert_eq!(judge("cold-unknown", &unknown).0, Some(0));
 }
 
 #[test]
-fn a_channel_too_full_is_seen() {
-    let (code, report) = judged("full", &[json!({"at": 2.0, "waiting": 6001.0})]);
+fn too_many_waiting_lines_are_found() {
+    let (code, report) = judge("full", &[json!({"at": 2.0, "waiting": 6001.0})]);
     assert_eq!(code, Some(1));
     assert!(report.contains("rule 5 broken"), "{report}");
 }
 
 #[test]
-fn a_spoiled_record_is_refused_with_its_line() {
-    let (code, report) = judged("spoiled", &[json!({"at": 2.0, "flew": 1})]);
+fn an_invalid_record_is_rejected_with_its_line_number() {
+    let (code, report) = judge("invalid", &[json!({"at": 2.0, "flew": 1})]);
     assert_eq!(code, Some(2));
     assert!(report.contains(":11: "), "{report}");
 }
 
-/// A client whose questions were lost goes on with an answer that has run out: no breach where the script lost
-/// them, one where it did not, and one where the answer still held.
+/// A relay whose DNS queries are lost uses an expired answer that names a drained server. That violates no rule if the
+/// script lost the queries; it does if the script lost none, or if the answer had not expired.
 #[test]
-fn an_answer_that_ran_out_is_nobodys_word_where_packets_were_lost() {
+fn an_expired_answer_is_excused_while_queries_are_lost() {
     let told = json!({"at": 2.0, "told": [[SERVER, "draining", 1], [OTHER, "ready", 1]]});
     let answer = |at: f64| json!({"at": at, "answer": {"asker": RELAY, "class": 0, "lines": [[SERVER, 1], [OTHER, 1]]}});
     let mut lossy = script();
     lossy["faults"] = json!([{"at": 2.0, "for": 6.0, "kind": "dns_lost", "part": 0.25}]);
     let stale = [told.clone(), answer(3.0), arrival(5.6, SERVER, 0.1)];
-    assert_eq!(judged_by(lossy.clone(), "stale-lost", &stale).0, Some(0));
-    assert_eq!(judged("stale", &stale).0, Some(1));
+    assert_eq!(judge_with_script(lossy.clone(), "stale-lost", &stale).0, Some(0));
+    assert_eq!(judge("stale", &stale).0, Some(1));
     let held = [told, answer(4.8), arrival(5.6, SERVER, 0.1)];
-    assert_eq!(judged_by(lossy, "held-lost", &held).0, Some(1));
+    assert_eq!(judge_with_script(lossy, "held-lost", &held).0, Some(1));
 }
 
-/// A query is on its way by what ran out long ago when the answer to a later question comes: it was sent by the
-/// old one, whatever came since.
+/// A query is sent by an expired answer, and a new answer arrives before the query reaches the server: the query must
+/// be judged by the answer by which it was sent.
 #[test]
-fn an_answer_that_comes_while_a_query_is_on_its_way_is_not_what_it_went_by() {
+fn a_query_is_judged_by_the_answer_that_it_was_sent_by() {
     let told = json!({"at": 2.0, "told": [[SERVER, "draining", 1], [OTHER, "ready", 1]]});
     let answer = json!({"at": 5.599, "answer": {"asker": RELAY, "class": 0, "lines": [[OTHER, 1]]}});
     let sent = |answered: f64| json!({"at": 5.598, "sent": {"query": 9, "answered": answered}});
     let mut lossy = script();
     lossy["faults"] = json!([{"at": 2.0, "for": 6.0, "kind": "dns_lost", "part": 0.25}]);
-    let by_the_old = [told.clone(), sent(0.3), answer.clone(), arrival(5.6, SERVER, 0.1)];
-    assert_eq!(judged_by(lossy.clone(), "late-answer", &by_the_old).0, Some(0));
-    let by_the_new = [told, sent(5.5), answer, arrival(5.6, SERVER, 0.1)];
-    assert_eq!(judged_by(lossy, "fresh-answer", &by_the_new).0, Some(1));
+    let by_old_answer = [told.clone(), sent(0.3), answer.clone(), arrival(5.6, SERVER, 0.1)];
+    assert_eq!(judge_with_script(lossy.clone(), "late-answer", &by_old_answer).0, Some(0));
+    let by_new_answer = [told, sent(5.5), answer, arrival(5.6, SERVER, 0.1)];
+    assert_eq!(judge_with_script(lossy, "fresh-answer", &by_new_answer).0, Some(1));
 }
