--- a/standins/src/cost.rs
+++ b/standins/src/cost.rs
@@ -1,8 +1,8 @@
-//! The cost of a day, compared with the lowest possible cost.
+//! The cost of a day, compared with that of the best plan in hindsight.
 //!
-//! Every query that a server started costs the price of the server's zone and of the link to it. The lowest cost is
-//! planned afterwards for each window: the same queries by zone of origin, the servers that ran, and their actual
-//! capacity.
+//! Every query that a server started costs the price of the server's zone and of the link to it. The best
+//! plan is computed afterwards for each window from the same queries by zone of origin, the servers that ran, and their
+//! actual capacity. It leaves the headroom free and assumes the mean work per query, so a day can cost slightly less.
 
 use crate::record::{Entry, Event};
 use crate::script::Script;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
     pub paid: f64,
-    /// The lowest possible cost.
+    /// Cost of the best plan in hindsight.
     pub best: f64,
     /// The highest utilization of a zone in any window: work received over capacity.
     pub max_zone_utilization: f64,
@@ -44,7 +44,7 @@
 }
 
 impl Cost {
-    /// Percentage by which the cost exceeds the lowest possible cost.
+    /// Percentage by which the cost exceeds that of the best plan.
     pub fn excess_percent(&self) -> f64 {
         100.0 * (self.paid / self.best.max(f64::MIN_POSITIVE) - 1.0)
     }
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -164,7 +164,7 @@
     println!("channel: at most {} lines waited", verdict.max_waiting);
     if let Some(cost) = cost::of_day(script, entries) {
         let (paid, best, excess) = (cost.paid, cost.best, cost.excess_percent());
-        println!("cost {paid:.1}   lowest possible {best:.1}   excess {excess:.2}%");
+        println!("cost {paid:.1}   best plan in hindsight {best:.1}   excess {excess:.2}%");
         let (zone, server) = (cost.max_zone_utilization, cost.max_server_utilization);
         println!("highest utilization: zone {zone:.2}, server {server:.2}");
     }
--- a/standins/src/script.rs
+++ b/standins/src/script.rs
@@ -75,7 +75,7 @@
     pub zones: Vec<f64>,
     /// Additional price of a query to another zone.
     pub crossing: f64,
-    /// Share of the capacity that plans leave free, both the pilot's and the one for the lowest possible cost.
+    /// Share of the capacity that plans leave free, both the pilot's and the best plan in hindsight.
     pub headroom: f64,
     /// The prices are configured in the pilot.
     pub told: bool,
--- a/standins/tests/days.rs
+++ b/standins/tests/days.rs
@@ -118,7 +118,7 @@
     assert!(!kept && service(&report) < 0.9, "{report}");
 }
 
-/// Relative excess of the day's cost over the lowest possible cost.
+/// Relative excess of the day's cost over that of the best plan in hindsight.
 fn excess_cost(report: &str) -> f64 {
     let line = report.lines().find(|line| line.starts_with("cost ")).unwrap();
     line.split_whitespace().last().unwrap().trim_end_matches('%').parse::<f64>().unwrap() / 100.0
