--- a/standins/src/cost.rs
+++ b/standins/src/cost.rs
@@ -1,8 +1,8 @@
 //! The cost of a day, compared with that of the best plan in hindsight.
 //!
-//! Every query that a server started costs the price of the server's zone and of the link to it. The best
-//! plan is computed afterwards for each window from the same queries by zone of origin, the servers that ran, and their
-//! actual capacity. It leaves the headroom free and assumes the mean work per query, so a day can cost slightly less.
+//! Every query that a server started costs the price of the server's zone and of the link to it. The best plan is
+//! computed afterwards for each window from the same queries by zone of origin, the servers that ran, and their actual
+//! capacity. It leaves the headroom free and assumes the mean work per query, so a day can cost slightly less.
 
 use crate::record::{Entry, Event};
 use crate::script::Script;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! What tests of other packages share of the stand-ins; the program has the rest.
+//! Stand-ins that tests of other packages use as well. The other ones are part of the program.
 
 pub mod platform;
 pub mod soak;
