--- a/cost/tests/planner.rs
+++ b/cost/tests/planner.rs
@@ -57,13 +57,13 @@
     }
 }
 
-fn config(carries: f64) -> PlannerConfig {
-    PlannerConfig { carries: Some(carries), headroom: 0.1, ..PlannerConfig::default() }
+fn config(capacity: f64) -> PlannerConfig {
+    PlannerConfig { carries: Some(capacity), headroom: 0.1, ..PlannerConfig::default() }
 }
 
 /// Queries per second that a zone receives.
-fn load(parts: &[Vec<f64>], demand: &[f64], zone: usize) -> f64 {
-    parts.iter().zip(demand).map(|(parts, demand)| parts[zone] * demand).sum()
+fn load(shares: &[Vec<f64>], demand: &[f64], zone: usize) -> f64 {
+    shares.iter().zip(demand).map(|(shares, demand)| shares[zone] * demand).sum()
 }
 
 /// The cheapest zone is filled up to its headroom. When it loses all servers, its queries move away at once instead
@@ -72,13 +72,13 @@
 fn cheapest_zone_is_filled_and_abandoned_when_lost() {
     let mut fleet = Fleet::new(config(10.0), &[1.0, 3.0, 3.0], vec![], 5.0);
     let demand = [20.0, 30.0, 30.0];
-    let parts = fleet.converge(&demand, &[30.0, 25.0, 25.0]);
-    assert!((load(&parts, &demand, 0) - 45.0).abs() < 0.5, "{parts:?}");
+    let shares = fleet.converge(&demand, &[30.0, 25.0, 25.0]);
+    assert!((load(&shares, &demand, 0) - 45.0).abs() < 0.5, "{shares:?}");
     fleet.zones[0].weight = 0.0;
     fleet.observe(&demand, &[0.0, 30.0, 30.0], 0.1);
-    let parts = fleet.plan().unwrap();
-    assert!(load(&parts, &demand, 0) < 1e-3, "moved in steps although the zone has no capacity: {parts:?}");
-    assert!((1..3).all(|zone| load(&parts, &demand, zone) <= 45.0 + 1e-3), "{parts:?}");
+    let shares = fleet.plan().unwrap();
+    assert!(load(&shares, &demand, 0) < 1e-3, "moved in steps although the zone has no capacity: {shares:?}");
+    assert!((1..3).all(|zone| load(&shares, &demand, zone) <= 45.0 + 1e-3), "{shares:?}");
     // Another zone has half of its capacity while its servers warm up: demand no longer fits.
     (fleet.zones[1].weight, fleet.zones[2].weight) = (2.5, 5.0);
     fleet.observe(&demand, &[0.0, 15.0, 30.0], 0.1);
@@ -98,8 +98,8 @@
     let far = Link { time: 0.6, ..Link::default() };
     let links = vec![vec![Link::default(), far], vec![far, Link::default()]];
     let mut fleet = Fleet::new(config(10.0), &[1.0, 9.0], links, 10.0);
-    let parts = fleet.converge(&[20.0, 20.0], &[20.0, 20.0]);
-    assert!(parts[1][0] < 1e-6 && parts[0][1] < 1e-6, "{parts:?}");
+    let shares = fleet.converge(&[20.0, 20.0], &[20.0, 20.0]);
+    assert!(shares[1][0] < 1e-6 && shares[0][1] < 1e-6, "{shares:?}");
 }
 
 /// Equal prices and small changes of demand or price move nothing; a gain above the move price moves in steps.
@@ -113,17 +113,17 @@
     for _ in 0..60 {
         let demand = [36.0 + 8.0 * rng.f64(), 36.0 + 8.0 * rng.f64()];
         fleet.observe(&demand, &demand, 0.1);
-        let parts = fleet.plan().unwrap();
-        let change = parts.iter().flatten().zip(first.iter().flatten()).map(|(a, b)| (a - b).abs());
-        assert!(change.fold(0.0, f64::max) < 0.02, "{parts:?} {first:?}");
+        let shares = fleet.plan().unwrap();
+        let change = shares.iter().flatten().zip(first.iter().flatten()).map(|(a, b)| (a - b).abs());
+        assert!(change.fold(0.0, f64::max) < 0.02, "{shares:?} {first:?}");
     }
     // A move costs 0.5 per second: a gain of 0.4 doesn't pay, 0.6 does.
     for (price, moves) in [(1.6, false), (1.4, true)] {
         fleet.planner.set_price(1, price);
         fleet.observe(&demand, &demand, 0.1);
-        let parts = fleet.plan().unwrap();
-        let increase: Vec<f64> = (0..2).map(|zone| parts[zone][1] - first[zone][1]).collect();
-        assert_eq!(increase.iter().any(|share| *share > 0.05), moves, "{price}: {parts:?} {first:?}");
+        let shares = fleet.plan().unwrap();
+        let increase: Vec<f64> = (0..2).map(|zone| shares[zone][1] - first[zone][1]).collect();
+        assert_eq!(increase.iter().any(|share| *share > 0.05), moves, "{price}: {shares:?} {first:?}");
         assert!(increase.iter().all(|share| *share <= 0.25 + 1e-6), "{increase:?}");
     }
 }
@@ -134,12 +134,12 @@
     let mut fleet = Fleet::new(config(10.0), &[1.0, 2.0], vec![], 10.0);
     assert_eq!(fleet.plan(), Err(NoPlan::Unknown));
     let demand = [50.0, 30.0];
-    let parts = fleet.converge(&demand, &[60.0, 0.0]);
-    assert!((load(&parts, &demand, 0) - 80.0).abs() < 0.5, "{parts:?}");
+    let shares = fleet.converge(&demand, &[60.0, 0.0]);
+    assert!((load(&shares, &demand, 0) - 80.0).abs() < 0.5, "{shares:?}");
     // Reports 5 s old: the assumed demand is 100, and the cheap zone's usable capacity is 90.
     fleet.now += 5.0;
-    let parts = fleet.plan().unwrap();
-    assert!((load(&parts, &demand, 0) - 72.0).abs() < 0.5, "{parts:?}");
+    let shares = fleet.plan().unwrap();
+    assert!((load(&shares, &demand, 0) - 72.0).abs() < 0.5, "{shares:?}");
     fleet.now += 10.1;
     assert_eq!(fleet.plan(), Err(NoPlan::Unknown));
 }
--- a/guard/src/checks.rs
+++ b/guard/src/checks.rs
@@ -1,41 +1,43 @@
-//! What may be wrong with a table. Each check stands by itself and tells its finding in figures.
+//! The checks of a proposed table. Each is independent of the others and reports its finding with figures.
 
 use crate::state::{GuardConfig, Server, State};
-use crate::{part, Loads, Weights};
+use crate::{share, Loads, Weights};
 use oatlever::round::Address;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
+/// Identifies a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Check {
-    /// A weight that is no finite number, or below zero.
+    /// A weight is negative or not finite.
     NotFinite,
-    /// No line left, while servers serve.
+    /// The table becomes empty although servers are available.
     Emptied,
-    /// Only cold servers, while warm ones serve.
+    /// The table has only cold servers although warm ones are available.
     ColdOnly,
-    /// Servers of a zone that serve were dropped, more than may be.
+    /// Available servers that had more than the allowed share of a zone's queries are dropped.
     Cut,
-    /// A zone with servers that serve is in no table any more.
+    /// A zone with available servers is no longer in any table.
     ZoneCut,
-    /// Too many queries move at once.
+    /// More than the allowed share of the queries moves at once.
     Moved,
-    /// A warm server past its capacity.
+    /// A warm server exceeds its capacity.
     Overload,
-    /// A cold one past what it can take.
+    /// A cold server exceeds its capacity.
     ColdOverload,
-    /// A cold one past what it can take once the server of the greatest part is lost.
+    /// A cold server would exceed its capacity if the server with the largest share failed.
     Fragile,
-    /// A class that must not run twice, with further tries where it may have run.
+    /// A class that must not run twice would be retried after failures where it may have run.
     Twice,
-    /// An operator's pin is broken.
+    /// The table violates an operator's pin.
     Pinned,
 }
 
 impl Check {
+    /// The name in metrics, logs and commands.
     pub fn name(self) -> &'static str {
         match self {
             Check::NotFinite => "not_finite",
@@ -53,59 +55,66 @@
     }
 }
 
-/// Something wrong, in figures.
+/// The result of a check that failed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     pub check: Check,
-    /// The servers concerned, the worst first; a few of them.
+    /// The affected servers, the worst first, at most `MAX_SERVERS`.
     pub servers: Vec<Address>,
+    /// The measured value; its meaning depends on the check.
     pub value: f64,
     pub limit: f64,
-    /// s; the age of the oldest news it rests on.
+    /// Age of the demand measurement behind the finding, s.
     pub data_age: f64,
 }
 
-/// Servers told in a finding.
-const TOLD: usize = 5;
+/// Maximum number of servers listed in a finding.
+const MAX_SERVERS: usize = 5;
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (found, limit) = (self.value, self.limit);
+        let (value, limit) = (self.value, self.limit);
         match self.check {
-            Check::NotFinite => write!(f, "{found} weights are no finite numbers of 0 or more"),
-            Check::Emptied => write!(f, "no line is left while {found} servers serve"),
-            Check::ColdOnly => write!(f, "only cold servers are left while {found} warm ones serve"),
+            Check::NotFinite => write!(f, "{value} weights are negative or not finite"),
+            Check::Emptied => write!(f, "the table is empty while {value} servers are available"),
+            Check::ColdOnly => {
+                write!(f, "the table has only cold servers while {value} warm ones are available")
+            }
             Check::Cut => {
-                write!(f, "{found:.3} of a zone's queries taken from servers that serve, {limit:.3} at most")
+                write!(
+                    f,
+                    "dropped servers that are available had {value:.3} of a zone's queries, limit {limit:.3}"
+                )
             }
             Check::ZoneCut => {
-                write!(f, "zone {found} is in no table any more while {limit} of its servers serve")
+                write!(f, "zone {value} is no longer in any table while {limit} of its servers are available")
             }
-            Check::Moved => write!(f, "{found:.3} of the queries move at once, {limit:.3} at most"),
-            Check::Overload => write!(f, "{found:.2} queries a second for a server that may have {limit:.2}"),
+            Check::Moved => write!(f, "{value:.3} of the queries move at once, limit {limit:.3}"),
+            Check::Overload => write!(f, "{value:.2} queries per second for a server, limit {limit:.2}"),
             Check::ColdOverload => {
-                write!(f, "{found:.2} queries a second for a cold server that may have {limit:.2}")
+                write!(f, "{value:.2} queries per second for a cold server, limit {limit:.2}")
             }
             Check::Fragile => {
                 write!(
                     f,
-                    "{found:.2} queries a second for a cold server that may have {limit:.2}, if the next is lost"
+                    "{value:.2} queries per second for a cold server if the server with the largest share fails, \
+                     limit {limit:.2}"
                 )
             }
             Check::Twice => {
-                write!(f, "further tries after any failure for class {found}, which must not run twice")
+                write!(f, "retries after any failure for class {value}, which must not run twice")
             }
-            Check::Pinned => write!(f, "{found:.3} of the queries, pinned to {limit:.3}"),
+            Check::Pinned => write!(f, "{value:.3} of the queries for a server pinned to {limit:.3}"),
         }?;
-        let told: Vec<String> = self.servers.iter().map(Address::to_string).collect();
-        if !told.is_empty() {
-            write!(f, " ({})", told.join(", "))?;
+        let servers: Vec<String> = self.servers.iter().map(Address::to_string).collect();
+        if !servers.is_empty() {
+            write!(f, " ({})", servers.join(", "))?;
         }
-        write!(f, ", by news {:.1} s old", self.data_age)
+        write!(f, ", from data {:.1} s old", self.data_age)
     }
 }
 
-/// An operator's word on a server's part of every table that names it, until a time.
+/// An operator's limits on a server's share of every table that contains it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pin {
     pub server: Address,
@@ -115,50 +124,51 @@
     pub expires_at: f64,
 }
 
-/// A table as it would be, beside what it is judged by.
+/// Everything that a proposed table is checked against.
 pub struct CheckContext<'a> {
     pub state: &'a State,
     pub config: &'a GuardConfig,
     pub loads: &'a Loads,
     pub pins: &'a [Pin],
     pub table: u16,
-    /// As laid last, by parts.
+    /// The table published last, as shares.
     pub before: &'a Weights,
-    /// As it was about `window` ago, by parts.
+    /// The table as it was one to two `window`s ago, as shares.
     pub earlier: &'a Weights,
-    pub typical: Option<f64>,
-    /// Zones that other tables go to, once all that are on their way are laid.
-    pub elsewhere: &'a BTreeSet<u16>,
+    /// [`State::typical_rate`].
+    pub typical_rate: Option<f64>,
+    /// Zones in other tables, assuming that all proposals of the round are published.
+    pub other_zones: &'a BTreeSet<u16>,
 }
 
-/// What checks leave room for, as parts are sums of many.
-const SLACK: f64 = 1e-9;
+/// Tolerance for rounding errors in sums of shares.
+const TOLERANCE: f64 = 1e-9;
 
-/// The two greatest parts of a table.
-pub struct Greatest {
+/// The two largest shares of a table, and the server with the largest.
+pub struct LargestShares {
     first: Option<Address>,
-    parts: (f64, f64),
+    shares: (f64, f64),
 }
 
-impl Greatest {
-    pub fn of(parts: &Weights) -> Self {
-        let mut found = Greatest { first: None, parts: (0.0, 0.0) };
-        for (server, part) in parts {
-            if *part > found.parts.0 {
-                found = Greatest { first: Some(*server), parts: (*part, found.parts.0) };
+impl LargestShares {
+    pub fn of(shares: &Weights) -> Self {
+        let mut largest = LargestShares { first: None, shares: (0.0, 0.0) };
+        for (server, share) in shares {
+            if *share > largest.shares.0 {
+                largest = LargestShares { first: Some(*server), shares: (*share, largest.shares.0) };
             } else {
-                found.parts.1 = part.max(found.parts.1);
+                largest.shares.1 = share.max(largest.shares.1);
             }
         }
-        found
+        largest
     }
 
-    /// The greatest part beside a server's.
-    pub fn beside(&self, server: &Address) -> f64 {
+    /// The largest share of all servers but this one.
+    pub fn except(&self, server: &Address) -> f64 {
         if self.first == Some(*server) {
-            self.parts.1
+            self.shares.1
         } else {
-            self.parts.0
+            self.shares.0
         }
     }
 }
@@ -168,229 +178,253 @@
         self.state.servers.get(server)
     }
 
-    /// It may be sent to, and is shown to serve.
+    /// Whether queries may be sent to a server, and it is known to serve.
     pub fn is_available(&self, server: &Address) -> bool {
         self.server(server).is_some_and(|s| self.state.is_available(s, self.config))
     }
 
-    fn finding(&self, check: Check, servers: Vec<Address>, found: f64, limit: f64) -> Finding {
+    fn finding(&self, check: Check, servers: Vec<Address>, value: f64, limit: f64) -> Finding {
         let data_age = (self.state.now - self.state.measured_at).max(0.0);
-        Finding { check, servers: servers.into_iter().take(TOLD).collect(), value: found, limit, data_age }
+        let servers = servers.into_iter().take(MAX_SERVERS).collect();
+        Finding { check, servers, value, limit, data_age }
     }
 
-    /// That there are servers of which this holds; their number is what was found.
-    fn counted(&self, check: Check, servers: Vec<Address>) -> Option<Finding> {
-        let found = servers.len() as f64;
-        (found > 0.0).then(|| self.finding(check, servers, found, 0.0))
+    /// A finding with the number of servers as its value, if there are any.
+    fn count_finding(&self, check: Check, servers: Vec<Address>) -> Option<Finding> {
+        let count = servers.len() as f64;
+        (count > 0.0).then(|| self.finding(check, servers, count, 0.0))
     }
 
-    /// That more than a limit was taken, with the servers that lost the most first.
-    fn taken(&self, check: Check, mut lost: Vec<(f64, Address)>, found: f64, limit: f64) -> Option<Finding> {
+    /// A finding if a value exceeds its limit, with the servers that lose the largest shares first.
+    fn limit_finding(
+        &self,
+        check: Check,
+        mut lost: Vec<(f64, Address)>,
+        value: f64,
+        limit: f64,
+    ) -> Option<Finding> {
         lost.sort_by(|a, b| b.0.total_cmp(&a.0));
         let servers = lost.into_iter().map(|(_, server)| server).collect();
-        (found > limit + SLACK).then(|| self.finding(check, servers, found, limit))
+        (value > limit + TOLERANCE).then(|| self.finding(check, servers, value, limit))
     }
 
-    /// The parts of a table by zone.
-    fn by_zone(&self, lines: &Weights) -> BTreeMap<u16, f64> {
-        let mut parts = BTreeMap::new();
-        for (server, part) in lines {
+    /// The shares of a table by zone.
+    fn by_zone(&self, table: &Weights) -> BTreeMap<u16, f64> {
+        let mut shares = BTreeMap::new();
+        for (server, share) in table {
             if let Some(s) = self.server(server) {
-                *parts.entry(s.zone).or_default() += part;
+                *shares.entry(s.zone).or_default() += share;
             }
         }
-        parts
+        shares
     }
 
-    /// Queries a second that may come to a server if the table gives it this part.
-    pub fn load(&self, server: &Address, part: f64) -> f64 {
+    /// Queries per second that a server may receive if the table gives it this share. Includes other tables and
+    /// versions still in use.
+    pub fn load(&self, server: &Address, share: f64) -> f64 {
         let others = self.loads.load_from_others(self.table, server) * self.state.demand_growth(self.config);
-        let most = part.max(self.loads.max_share(self.table, server));
-        others + most * self.state.expected_demand(self.table, self.config)
+        let max_share = share.max(self.loads.max_share(self.table, server));
+        others + max_share * self.state.expected_demand(self.table, self.config)
     }
 
-    /// The part of this table that a server may have beside what other tables ask of it; none where nothing
-    /// is known of capacities, or nothing comes.
+    /// The largest share of this table that a server has capacity for beside its load from other tables. `None` if
+    /// the capacity is unknown or the table has no demand.
     pub fn room(&self, server: &Address) -> Option<f64> {
-        let whole = self.state.expected_demand(self.table, self.config);
-        let capacity = self.state.capacity(self.server(server)?, self.typical, self.config)?;
+        let demand = self.state.expected_demand(self.table, self.config);
+        let capacity = self.state.capacity(self.server(server)?, self.typical_rate, self.config)?;
         let others = self.loads.load_from_others(self.table, server) * self.state.demand_growth(self.config);
-        (whole > 0.0).then(|| ((capacity - others) / whole).max(0.0))
+        (demand > 0.0).then(|| ((capacity - others) / demand).max(0.0))
     }
 
-    /// Pins that hold now.
+    /// Pins that have not expired.
     fn pins(&self) -> impl Iterator<Item = &Pin> {
         self.pins.iter().filter(|pin| pin.expires_at > self.state.now)
     }
 
-    /// The pin on a server that holds now.
+    /// The pin of a server, unless it has expired.
     pub fn pin(&self, server: &Address) -> Option<&Pin> {
         self.pins().find(|pin| pin.server == *server)
     }
 
     pub fn not_finite(&self, proposed: &Weights) -> Option<Finding> {
-        let odd = proposed.iter().filter(|(_, weight)| !weight.is_finite() || **weight < 0.0);
-        self.counted(Check::NotFinite, odd.map(|(server, _)| *server).collect())
+        let invalid = proposed.iter().filter(|(_, weight)| !weight.is_finite() || **weight < 0.0);
+        self.count_finding(Check::NotFinite, invalid.map(|(server, _)| *server).collect())
     }
 
-    /// Servers that could be sent to.
-    fn open(&self) -> impl Iterator<Item = (&Address, &Server)> {
+    /// All servers for which [`Self::is_available`] holds.
+    fn available(&self) -> impl Iterator<Item = (&Address, &Server)> {
         self.state.servers.iter().filter(|(_, s)| self.state.is_available(s, self.config))
     }
 
-    pub fn emptied(&self, parts: &Weights) -> Option<Finding> {
-        // A table that never had lines is not emptied.
-        if !parts.is_empty() || self.before.is_empty() {
+    pub fn emptied(&self, shares: &Weights) -> Option<Finding> {
+        // A table that was empty before is not emptied.
+        if !shares.is_empty() || self.before.is_empty() {
             return None;
         }
-        self.counted(Check::Emptied, self.open().map(|(server, _)| *server).collect())
+        self.count_finding(Check::Emptied, self.available().map(|(server, _)| *server).collect())
     }
 
-    pub fn cold_only(&self, parts: &Weights) -> Option<Finding> {
-        let warm = |server: &Address| self.server(server).is_none_or(|s| self.state.is_warm(s));
-        if parts.is_empty() || parts.keys().any(warm) {
+    pub fn cold_only(&self, shares: &Weights) -> Option<Finding> {
+        let is_warm = |server: &Address| self.server(server).is_none_or(|s| self.state.is_warm(s));
+        if shares.is_empty() || shares.keys().any(is_warm) {
             return None;
         }
-        let warm = self.open().filter(|(_, s)| self.state.is_warm(s));
-        self.counted(Check::ColdOnly, warm.map(|(server, _)| *server).collect())
+        let warm = self.available().filter(|(_, s)| self.state.is_warm(s));
+        self.count_finding(Check::ColdOnly, warm.map(|(server, _)| *server).collect())
     }
 
-    /// What was taken from servers that serve by dropping them, since the table before and since earlier: a
-    /// row of small steps counts together. Zone by zone, and only in zones that the table still goes to: that a
-    /// spill ends is no cut. A zone given up altogether is judged over all tables.
-    pub fn cut(&self, parts: &Weights) -> Option<Finding> {
-        let left = self.by_zone(parts);
+    /// The share of a zone's queries that dropped servers had although they are available, compared with the last
+    /// table and with an earlier one, so that a series of small steps counts in sum. Only zones that the table keeps
+    /// are compared: the end of a spill is no cut. The loss of a whole zone is checked over all tables instead.
+    pub fn cut(&self, shares: &Weights) -> Option<Finding> {
+        let remaining = self.by_zone(shares);
         let mut worst: Option<(f64, Vec<(f64, Address)>)> = None;
-        for then in [self.before, self.earlier] {
-            let whole = self.by_zone(then);
+        for old in [self.before, self.earlier] {
+            let old_by_zone = self.by_zone(old);
             let mut lost: BTreeMap<u16, Vec<(f64, Address)>> = BTreeMap::new();
-            for (server, old) in then.iter().filter(|(server, _)| part(parts, server) <= 0.0) {
+            for (server, old_share) in old.iter().filter(|(server, _)| share(shares, server) <= 0.0) {
                 if let Some(s) = self.server(server).filter(|s| self.state.is_available(s, self.config)) {
-                    lost.entry(s.zone).or_default().push((*old, *server));
+                    lost.entry(s.zone).or_default().push((*old_share, *server));
                 }
             }
-            let zones = lost.into_iter();
-            for (zone, lost) in
-                zones.filter(|(z, _)| left.contains_key(z) && whole[z] > self.config.zone_part)
-            {
-                let found = lost.iter().map(|(old, _)| old).sum::<f64>() / whole[&zone];
-                if worst.as_ref().is_none_or(|(most, _)| found > *most) {
-                    worst = Some((found, lost));
+            let kept_zones = lost.into_iter().filter(|(zone, _)| {
+                remaining.contains_key(zone) && old_by_zone[zone] > self.config.zone_part
+            });
+            for (zone, lost) in kept_zones {
+                let value = lost.iter().map(|(old_share, _)| old_share).sum::<f64>() / old_by_zone[&zone];
+                if worst.as_ref().is_none_or(|(max, _)| value > *max) {
+                    worst = Some((value, lost));
                 }
             }
         }
-        let (found, lost) = worst?;
-        self.taken(Check::Cut, lost, found, self.config.cut_part)
+        let (value, lost) = worst?;
+        self.limit_finding(Check::Cut, lost, value, self.config.cut_part)
     }
 
-    /// A zone that had a part of this table and has none, nor a line in any other: tables that leave it in one
-    /// round are judged as if all of them were laid, or each would be let go for the sake of the next.
-    pub fn zone_cut(&self, parts: &Weights) -> Option<Finding> {
-        // That no line is left at all is found by itself.
-        if parts.is_empty() {
+    /// A zone that had a share of this table and is no longer in this or any other table. Other tables count as if
+    /// all proposals of the round were published; otherwise tables that leave a zone in the same round would each be
+    /// accepted because of the others.
+    pub fn zone_cut(&self, shares: &Weights) -> Option<Finding> {
+        // An empty table is reported by `emptied`.
+        if shares.is_empty() {
             return None;
         }
-        let (left, mut had) = (self.by_zone(parts), self.by_zone(self.before));
-        for (zone, part) in self.by_zone(self.earlier) {
-            let most = had.entry(zone).or_default();
-            *most = part.max(*most);
+        let (remaining, mut former) = (self.by_zone(shares), self.by_zone(self.before));
+        for (zone, share) in self.by_zone(self.earlier) {
+            let max = former.entry(zone).or_default();
+            *max = share.max(*max);
         }
-        had.retain(|zone, part| *part > self.config.zone_part && !left.contains_key(zone));
-        had.into_keys().filter(|zone| !self.elsewhere.contains(zone)).find_map(|zone| {
-            let open = self.open().filter(|(_, s)| s.zone == zone);
-            let open: Vec<Address> = open.map(|(server, _)| *server).collect();
-            let count = open.len() as f64;
-            (count > 0.0).then(|| self.finding(Check::ZoneCut, open, f64::from(zone), count))
+        former.retain(|zone, share| *share > self.config.zone_part && !remaining.contains_key(zone));
+        former.into_keys().filter(|zone| !self.other_zones.contains(zone)).find_map(|zone| {
+            let available = self.available().filter(|(_, s)| s.zone == zone);
+            let available: Vec<Address> = available.map(|(server, _)| *server).collect();
+            let count = available.len() as f64;
+            (count > 0.0).then(|| self.finding(Check::ZoneCut, available, f64::from(zone), count))
         })
     }
 
-    pub fn moved(&self, parts: &Weights) -> Option<Finding> {
-        let away = self.before.iter().filter(|(server, _)| self.is_available(server));
-        let away = away.map(|(server, old)| ((old - part(parts, server)).max(0.0), *server));
-        let away: Vec<(f64, Address)> = away.filter(|(moved, _)| *moved > 0.0).collect();
-        let found = away.iter().map(|(moved, _)| moved).sum();
-        self.taken(Check::Moved, away, found, self.config.moved_part)
+    pub fn moved(&self, shares: &Weights) -> Option<Finding> {
+        let available = self.before.iter().filter(|(server, _)| self.is_available(server));
+        let lost = available.map(|(server, old)| ((old - share(shares, server)).max(0.0), *server));
+        let lost: Vec<(f64, Address)> = lost.filter(|(lost, _)| *lost > 0.0).collect();
+        let value = lost.iter().map(|(lost, _)| lost).sum();
+        self.limit_finding(Check::Moved, lost, value, self.config.moved_part)
     }
 
-    /// Servers that this table would push past what they may have: those whose part it raises, as what it
-    /// lowers or leaves is not its doing.
-    pub fn overloads(&self, parts: &Weights) -> Vec<Finding> {
-        let mut worst: BTreeMap<Check, (f64, Vec<Address>, f64, f64)> = BTreeMap::new();
-        for (server, new) in parts.iter().filter(|(server, new)| **new > part(self.before, server) + SLACK) {
+    /// Servers that this table would overload. Only servers whose share it raises: it isn't the cause of the load on
+    /// the others.
+    pub fn overloads(&self, shares: &Weights) -> Vec<Finding> {
+        struct Worst {
+            ratio: f64,
+            servers: Vec<Address>,
+            load: f64,
+            limit: f64,
+        }
+        let mut worst: BTreeMap<Check, Worst> = BTreeMap::new();
+        for (server, new) in
+            shares.iter().filter(|(server, new)| **new > share(self.before, server) + TOLERANCE)
+        {
             let Some(s) = self.server(server) else { continue };
-            let Some(limit) = self.state.capacity(s, self.typical, self.config) else { continue };
+            let Some(limit) = self.state.capacity(s, self.typical_rate, self.config) else { continue };
             let load = self.load(server, *new);
-            if load <= limit * (1.0 + SLACK) {
+            if load <= limit * (1.0 + TOLERANCE) {
                 continue;
             }
             let check = if self.state.is_warm(s) { Check::Overload } else { Check::ColdOverload };
-            let over = load / limit.max(f64::MIN_POSITIVE);
-            let entry = worst.entry(check).or_insert((0.0, Vec::new(), load, limit));
-            if over > entry.0 {
-                entry.1.insert(0, *server);
-                (entry.0, entry.2, entry.3) = (over, load, limit);
+            let ratio = load / limit.max(f64::MIN_POSITIVE);
+            let entry = worst.entry(check).or_insert(Worst { ratio: 0.0, servers: Vec::new(), load, limit });
+            if ratio > entry.ratio {
+                entry.servers.insert(0, *server);
+                (entry.ratio, entry.load, entry.limit) = (ratio, load, limit);
             } else {
-                entry.1.push(*server);
+                entry.servers.push(*server);
             }
         }
-        let told = worst.into_iter();
-        told.map(|(check, (_, servers, load, limit))| self.finding(check, servers, load, limit)).collect()
+        worst.into_iter().map(|(check, w)| self.finding(check, w.servers, w.load, w.limit)).collect()
     }
 
-    /// Queries a second that may come to a server once the one of the greatest part beside it is lost: proxies
-    /// stay away from it and its part goes to the others, as the table weighs them.
-    fn load_after_loss(&self, server: &Address, parts: &Weights, greatest: &Greatest) -> f64 {
-        let left = 1.0 - greatest.beside(server);
-        self.load(server, if left > SLACK { (part(parts, server) / left).min(1.0) } else { 1.0 })
+    /// Queries per second that a server may receive once the other server with the largest share fails: proxies
+    /// avoid that one and spread its share over the others by their weights.
+    fn load_after_loss(&self, server: &Address, shares: &Weights, largest: &LargestShares) -> f64 {
+        let remaining = 1.0 - largest.except(server);
+        let new_share =
+            if remaining > TOLERANCE { (share(shares, server) / remaining).min(1.0) } else { 1.0 };
+        self.load(server, new_share)
     }
 
-    /// A cold server that would fall over if another server failed, where warm ones could be named beside it.
-    /// Warm ones past what they may have for a moment are slow and not lost.
-    pub fn fragile(&self, parts: &Weights) -> Option<Finding> {
-        let mut rest = self.open().filter(|(server, s)| self.state.is_warm(s) && !parts.contains_key(server));
-        rest.next()?;
-        let (greatest, former) = (Greatest::of(parts), Greatest::of(self.before));
+    /// A cold server that would be overloaded if another server failed, while warm servers are available that the
+    /// table doesn't contain. Warm servers are exempt: a brief overload makes them slow but doesn't take them down.
+    pub fn fragile(&self, shares: &Weights) -> Option<Finding> {
+        let mut unused =
+            self.available().filter(|(server, s)| self.state.is_warm(s) && !shares.contains_key(server));
+        unused.next()?;
+        let (largest, largest_before) = (LargestShares::of(shares), LargestShares::of(self.before));
         let mut worst: Option<(f64, Address, f64, f64)> = None;
-        for server in parts.keys() {
+        for server in shares.keys() {
             let Some(s) = self.server(server).filter(|s| !self.state.is_warm(s)) else { continue };
-            let Some(limit) = self.state.capacity(s, self.typical, self.config) else { continue };
-            let load = self.load_after_loss(server, parts, &greatest);
-            let before = self.load_after_loss(server, self.before, &former);
-            let grows = !self.before.contains_key(server) || load > before * (1.0 + SLACK);
-            // What is too much without any loss is found by itself.
-            let alone = self.load(server, part(parts, server)) > limit * (1.0 + SLACK);
-            let over = load / limit.max(f64::MIN_POSITIVE);
-            if grows && !alone && over > 1.0 + SLACK && worst.as_ref().is_none_or(|(most, ..)| over > *most) {
-                worst = Some((over, *server, load, limit));
+            let Some(limit) = self.state.capacity(s, self.typical_rate, self.config) else { continue };
+            let load = self.load_after_loss(server, shares, &largest);
+            let load_before = self.load_after_loss(server, self.before, &largest_before);
+            let grows = !self.before.contains_key(server) || load > load_before * (1.0 + TOLERANCE);
+            // An overload without any loss is reported by `overloads`.
+            let overloaded = self.load(server, share(shares, server)) > limit * (1.0 + TOLERANCE);
+            let ratio = load / limit.max(f64::MIN_POSITIVE);
+            if grows
+                && !overloaded
+                && ratio > 1.0 + TOLERANCE
+                && worst.as_ref().is_none_or(|(max, ..)| ratio > *max)
+            {
+                worst = Some((ratio, *server, load, limit));
             }
         }
         worst.map(|(_, server, load, limit)| self.finding(Check::Fragile, vec![server], load, limit))
     }
 
-    pub fn pinned(&self, parts: &Weights) -> Option<Finding> {
+    pub fn pinned(&self, shares: &Weights) -> Option<Finding> {
         self.pins().find_map(|pin| {
-            let named = parts.contains_key(&pin.server) || self.before.contains_key(&pin.server);
-            // A pin holds nobody at a server that must be left.
-            let bound = self.server(&pin.server).is_none_or(|s| self.state.must_drain(s));
-            let found = part(parts, &pin.server);
-            let low = found < pin.min_share - SLACK && !bound;
-            let limit = if low { pin.min_share } else { pin.max_share };
-            let broken = named && (low || found > pin.max_share + SLACK);
-            broken.then(|| self.finding(Check::Pinned, vec![pin.server], found, limit))
+            let is_used = shares.contains_key(&pin.server) || self.before.contains_key(&pin.server);
+            // A minimum share doesn't hold for a server that must be drained.
+            let must_drain = self.server(&pin.server).is_none_or(|s| self.state.must_drain(s));
+            let value = share(shares, &pin.server);
+            let too_low = value < pin.min_share - TOLERANCE && !must_drain;
+            let limit = if too_low { pin.min_share } else { pin.max_share };
+            let violated = is_used && (too_low || value > pin.max_share + TOLERANCE);
+            violated.then(|| self.finding(Check::Pinned, vec![pin.server], value, limit))
         })
     }
 
-    /// Whether what is in place may stay: it has lines, none for a server that must be left, nobody past what
-    /// it may have, and breaks no pin. A drain is never held back by a table that is kept.
-    pub fn may_stay(&self) -> bool {
-        let lines = self.before;
-        let bound = |server| self.server(server).is_none_or(|s| self.state.must_drain(s));
-        if lines.is_empty() || lines.keys().any(bound) {
+    /// Whether the last table may be kept: it is not empty, overloads no server, violates no pin and contains no
+    /// server that must be drained. Keeping a table never delays a drain.
+    pub fn may_keep(&self) -> bool {
+        let table = self.before;
+        let must_drain = |server| self.server(server).is_none_or(|s| self.state.must_drain(s));
+        if table.is_empty() || table.keys().any(must_drain) {
             return false;
         }
-        let over =
-            |(server, part): (&_, &f64)| self.room(server).is_some_and(|room| *part > room * (1.0 + SLACK));
-        let found = [self.cold_only(lines), self.pinned(lines), self.fragile(lines)];
-        found.iter().all(Option::is_none) && !lines.iter().any(over)
+        let overloaded = |(server, share): (&_, &f64)| {
+            self.room(server).is_some_and(|room| *share > room * (1.0 + TOLERANCE))
+        };
+        let findings = [self.cold_only(table), self.pinned(table), self.fragile(table)];
+        findings.iter().all(Option::is_none) && !table.iter().any(overloaded)
     }
 }
--- a/guard/src/evidence.rs
+++ b/guard/src/evidence.rs
@@ -1,33 +1,36 @@
-//! What was seen of servers and askers, gathered from reports and checks.
+//! Collects what reports and health checks show of servers and askers.
 
 use crate::state::{ListStatus, Server, State};
 use oatlever::round::{Address, HealthCheckResult, ProxyQueries, Tries};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// s; what was proven fades to half in so long: software and neighbours change.
-const PROOF_HALF: f64 = 600.0;
-/// Part of the tries that may fail where the rest proves something.
-const FAILING: f64 = 0.05;
-/// Queries; a rate over fewer proves nothing.
-const FEW: f64 = 5.0;
+/// Half-life of proven rates, s: software and co-located processes change.
+const PROVEN_HALF_LIFE: f64 = 600.0;
+/// Maximum fraction of failed tries for an answered rate to count as proven.
+const MAX_FAILURE_RATE: f64 = 0.05;
+/// Minimum number of answered queries for a rate to count as proven.
+const MIN_ANSWERS: f64 = 5.0;
 
+/// What is known of a server; times in s.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    listed: Option<(ListStatus, f64)>,
+struct Observed {
+    /// The status in the list, and since when.
+    list_status: Option<(ListStatus, f64)>,
     answered_at: Option<f64>,
     failed_at: Option<f64>,
-    checked: Option<(f64, bool)>,
-    proven: f64,
+    last_check: Option<(f64, bool)>,
+    proven_rate: f64,
     proven_at: f64,
 }
 
-impl Seen {
-    fn proven(&self, now: f64) -> f64 {
-        self.proven * 0.5_f64.powf((now - self.proven_at).max(0.0) / PROOF_HALF)
+impl Observed {
+    /// The proven rate after its decay.
+    fn proven_rate(&self, now: f64) -> f64 {
+        self.proven_rate * 0.5_f64.powf((now - self.proven_at).max(0.0) / PROVEN_HALF_LIFE)
     }
 }
 
-/// What the list says of a server.
+/// A server's entry in the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer {
     pub zone: u16,
@@ -36,18 +39,20 @@
     pub started: f64,
 }
 
+/// Observations of servers and askers so far.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    servers: BTreeMap<Address, Seen>,
-    /// Queries a second of each asker by class, as last reported.
+    servers: BTreeMap<Address, Observed>,
+    /// Queries per second of each asker by class, as last reported.
     rates: BTreeMap<u16, BTreeMap<u8, f64>>,
-    heard_at: Option<f64>,
-    /// Part of all tries that failed, by the last report.
-    failing: f64,
+    /// When queries were last reported, s.
+    measured_at: Option<f64>,
+    /// Fraction of all tries that failed, by the last report.
+    failure_rate: f64,
 }
 
 impl Evidence {
-    /// Takes in what a round brought.
+    /// Takes in a round's reports and health checks.
     pub fn observe(
         &mut self,
         tries: &[Tries],
@@ -55,55 +60,65 @@
         health: &[HealthCheckResult],
         now: f64,
     ) {
-        let mut met: BTreeMap<Address, (f64, f64, f64, f64)> = BTreeMap::new();
-        for one in tries.iter().filter(|one| one.span > 0.0) {
-            let (rate, failed, answered, span) = met.entry(one.server).or_default();
-            *span = one.span.max(*span);
-            *rate += (one.tries - one.failed).max(0.0) / one.span;
-            *failed += one.failed;
-            *answered += (one.tries - one.failed).max(0.0);
+        #[derive(Default)]
+        struct Sum {
+            /// Answered queries per second.
+            rate: f64,
+            failed: f64,
+            answered: f64,
+            span: f64,
         }
-        if !met.is_empty() {
+        let mut sums: BTreeMap<Address, Sum> = BTreeMap::new();
+        for report in tries.iter().filter(|report| report.span > 0.0) {
+            let answered = (report.tries - report.failed).max(0.0);
+            let sum = sums.entry(report.server).or_default();
+            sum.span = report.span.max(sum.span);
+            sum.rate += answered / report.span;
+            sum.failed += report.failed;
+            sum.answered += answered;
+        }
+        if !sums.is_empty() {
             let (failed, answered) =
-                met.values().fold((0.0, 0.0), |(f, a), (_, failed, answered, _)| (f + failed, a + answered));
-            self.failing = failed / (failed + answered).max(1.0);
+                sums.values().fold((0.0, 0.0), |(f, a), sum| (f + sum.failed, a + sum.answered));
+            self.failure_rate = failed / (failed + answered).max(1.0);
         }
-        for (server, (rate, failed, answered, span)) in met {
-            let seen = self.servers.entry(server).or_default();
+        for (server, Sum { rate, failed, answered, span }) in sums {
+            let observed = self.servers.entry(server).or_default();
             if answered > 0.0 {
-                seen.answered_at = Some(now - span);
+                observed.answered_at = Some(now - span);
             } else if failed > 0.0 {
-                seen.failed_at = Some(now);
+                observed.failed_at = Some(now);
             }
-            let proves = answered >= FEW && failed <= FAILING * (answered + failed);
-            if proves && rate > seen.proven(now) {
-                (seen.proven, seen.proven_at) = (rate, now);
+            let proves = answered >= MIN_ANSWERS && failed <= MAX_FAILURE_RATE * (answered + failed);
+            if proves && rate > observed.proven_rate(now) {
+                (observed.proven_rate, observed.proven_at) = (rate, now);
             }
         }
-        for answer in health {
-            self.servers.entry(answer.server).or_default().checked = Some((now, answer.healthy));
+        for result in health {
+            self.servers.entry(result.server).or_default().last_check = Some((now, result.healthy));
         }
         if !queries.is_empty() {
             let mut rates: BTreeMap<u16, BTreeMap<u8, f64>> = BTreeMap::new();
-            for one in queries.iter().filter(|one| one.span > 0.0) {
-                *rates.entry(one.proxy).or_default().entry(one.class).or_default() += one.received / one.span;
+            for report in queries.iter().filter(|report| report.span > 0.0) {
+                *rates.entry(report.proxy).or_default().entry(report.class).or_default() +=
+                    report.received / report.span;
             }
             self.rates.extend(rates);
-            self.heard_at = Some(now);
+            self.measured_at = Some(now);
         }
     }
 
-    /// Forgets servers that nobody lists or names any more.
+    /// Removes all servers but these.
     pub fn retain(&mut self, known: &BTreeSet<Address>) {
         self.servers.retain(|server, _| known.contains(server));
     }
 
-    /// Queries a second of an asker; what the settings say where none was heard.
+    /// Queries per second of an asker; `usual` if none were reported.
     pub fn query_rate(&self, asker: u16, usual: f64) -> f64 {
         self.rates.get(&asker).map_or(usual, |classes| classes.values().sum())
     }
 
-    /// Queries a second that came to askers, by class, for so many classes; none where none was heard.
+    /// Queries per second of some askers by class. Askers without reports count as 0.
     pub fn rates_by_class(&self, askers: impl Iterator<Item = u16>, classes: usize) -> Vec<f64> {
         let mut sums = vec![0.0; classes];
         for (class, rate) in askers.filter_map(|asker| self.rates.get(&asker)).flatten() {
@@ -114,29 +129,29 @@
         sums
     }
 
-    /// Writes servers and the age of the demand into a state.
+    /// Updates a state's servers, failure rate and time of measurement.
     pub fn update_state(&mut self, listed: impl Iterator<Item = (Address, ListedServer)>, state: &mut State) {
         let now = state.now;
-        state.measured_at = self.heard_at.unwrap_or(now);
-        state.failure_rate = self.failing;
+        state.measured_at = self.measured_at.unwrap_or(now);
+        state.failure_rate = self.failure_rate;
         state.servers = listed
             .map(|(address, entry)| {
-                let seen = self.servers.entry(address).or_default();
-                let status_changed_at = match seen.listed {
-                    Some((word, at)) if word == entry.list_status => at,
+                let observed = self.servers.entry(address).or_default();
+                let status_changed_at = match observed.list_status {
+                    Some((status, at)) if status == entry.list_status => at,
                     _ => now,
                 };
-                seen.listed = Some((entry.list_status, status_changed_at));
+                observed.list_status = Some((entry.list_status, status_changed_at));
                 let server = Server {
                     zone: entry.zone,
                     list_status: entry.list_status,
                     weight: entry.weight,
                     started: entry.started,
                     status_changed_at,
-                    answered_at: seen.answered_at,
-                    failed_at: seen.failed_at,
-                    last_check: seen.checked,
-                    proven_rate: seen.proven(now),
+                    answered_at: observed.answered_at,
+                    failed_at: observed.failed_at,
+                    last_check: observed.last_check,
+                    proven_rate: observed.proven_rate(now),
                 };
                 (address, server)
             })
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -1,4 +1,4 @@
-//! The guard itself: what is in place, what was said of whom, and what goes out instead.
+//! The guard: runs all checks on a proposed table, decides what is published, and keeps the last verdicts.
 
 use crate::admission::AdmissionLimit;
 use crate::checks::{Check, CheckContext, Finding, Pin};
@@ -11,35 +11,37 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
+/// What the guard does with tables that fail a check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Says what it finds and lets everything out.
+    /// Reports its findings and publishes every table.
     Report,
+    /// Publishes another table instead.
     #[default]
     Enforce,
 }
 
-/// What became of a table.
+/// What was done with a proposed table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
+    /// Published without findings.
     Fine,
-    /// Let out, as the guard only reports.
+    /// Published despite its findings, as the guard only reports.
     Reported,
-    /// The last safe table stays.
+    /// Refused; the last table is kept.
     Kept,
-    /// The nearest safe table is laid: part of the queries it moves, and part that there is room for.
-    Nearest {
-        moved: f64,
-        fits: f64,
-    },
-    /// Let out with its findings, as there is nothing better: a proxy is not to be left without a server.
+    /// Replaced by the nearest safe table, with the share of the queries that it moves and the share that servers
+    /// have room for.
+    Nearest { moved: f64, fits: f64 },
+    /// Published despite its findings, as there is no better table and proxies must not be left without a server.
     NothingBetter,
-    /// No line is left and nobody serves: the truth goes out.
+    /// Published empty, as no server is available.
     Empty,
 }
 
 impl Outcome {
+    /// The name in metrics, logs and on `/status`.
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Fine => "fine",
@@ -52,6 +54,7 @@
     }
 }
 
+/// The result of checking a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     pub table: u16,
@@ -74,52 +77,55 @@
     }
 }
 
-/// A check that is not to hold for a while, by somebody's word.
+/// An operator's order to ignore a check for a while.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
     pub check: Check,
-    /// Whose word it is.
+    /// Who gave the order.
     pub author: String,
     /// s, on the pilot's clock.
     pub expires_at: f64,
 }
 
+/// A table in use.
 #[derive(Clone, Debug, Default)]
-struct Held {
-    /// As laid last, by parts, and the zones that it goes to.
-    lines: Weights,
+struct Table {
+    /// The version published last, as shares, and its zones.
+    shares: Weights,
     zones: BTreeSet<u16>,
-    /// As it was `window` to twice that ago, and the one to follow it.
+    /// The version of one to two `window`s ago, and the one that replaces it when the next window begins.
     earlier: Weights,
     next: Weights,
-    turned_at: f64,
-    /// Less than all is let in where not all fits.
-    relief: Option<AdmissionLimit>,
+    window_started_at: f64,
+    /// Set while not all queries are admitted.
+    admission: Option<AdmissionLimit>,
 }
 
-fn zones(state: &State, lines: &Weights) -> BTreeSet<u16> {
-    lines.keys().filter_map(|server| state.servers.get(server)).map(|s| s.zone).collect()
+fn zones(state: &State, table: &Weights) -> BTreeSet<u16> {
+    table.keys().filter_map(|server| state.servers.get(server)).map(|s| s.zone).collect()
 }
 
-/// Verdicts kept for people to ask about; fine ones are not.
-const TOLD: usize = 500;
+/// Number of verdicts kept, other than [`Outcome::Fine`].
+const MAX_VERDICTS: usize = 500;
 
+/// Checks tables and keeps track of those in use.
 #[derive(Clone, Debug)]
 pub struct Guard {
     pub config: GuardConfig,
     pub mode: Mode,
-    /// s; the longest that an older table may be in use.
+    /// Maximum time that a table is used after it was replaced, s.
     max_table_lifetime: f64,
     pub loads: Loads,
-    tables: BTreeMap<u16, Held>,
-    /// Zones of the tables that are to be judged in this round.
-    coming: BTreeMap<u16, BTreeSet<u16>>,
+    tables: BTreeMap<u16, Table>,
+    /// Zones of the tables proposed in this round.
+    proposed_zones: BTreeMap<u16, BTreeSet<u16>>,
     pub pins: Vec<Pin>,
     pub overrides: Vec<Override>,
-    /// Findings by check, and verdicts by outcome.
+    /// Number of findings by check.
     pub findings: BTreeMap<&'static str, u64>,
+    /// Number of verdicts by outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
-    told: VecDeque<Verdict>,
+    verdicts: VecDeque<Verdict>,
 }
 
 impl Guard {
@@ -130,165 +136,169 @@
             max_table_lifetime,
             loads: Loads::default(),
             tables: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            proposed_zones: BTreeMap::new(),
             pins: Vec::new(),
             overrides: Vec::new(),
             findings: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            told: VecDeque::new(),
+            verdicts: VecDeque::new(),
         }
     }
 
-    /// Everything wrong with a table, by parts, if it were laid now in place of the last.
-    fn findings(&self, context: &CheckContext, proposed: &Weights, parts: &Weights) -> Vec<Finding> {
-        let mut found: Vec<Finding> = [
+    /// All findings of a table if it were published now, except those of overridden checks.
+    fn findings(&self, context: &CheckContext, proposed: &Weights, shares: &Weights) -> Vec<Finding> {
+        let mut findings: Vec<Finding> = [
             context.not_finite(proposed),
-            context.emptied(parts),
-            context.cold_only(parts),
-            context.cut(parts),
-            context.zone_cut(parts),
-            context.moved(parts),
-            context.pinned(parts),
-            context.fragile(parts),
+            context.emptied(shares),
+            context.cold_only(shares),
+            context.cut(shares),
+            context.zone_cut(shares),
+            context.moved(shares),
+            context.pinned(shares),
+            context.fragile(shares),
         ]
         .into_iter()
         .flatten()
         .collect();
-        found.extend(context.overloads(parts));
-        found.retain(|finding| !self.is_lifted(finding.check, context.state.now));
-        found
+        findings.extend(context.overloads(shares));
+        findings.retain(|finding| !self.is_overridden(finding.check, context.state.now));
+        findings
     }
 
-    fn is_lifted(&self, check: Check, now: f64) -> bool {
+    fn is_overridden(&self, check: Check, now: f64) -> bool {
         self.overrides.iter().any(|o| o.check == check && o.expires_at > now)
     }
 
-    /// The tables that are to be judged next, all of one round: each is judged as if the others were laid.
+    /// Announces all proposals of a round: each table is checked as if the others were published.
     pub fn begin_round(&mut self, state: &State, proposals: &BTreeMap<u16, Weights>) {
-        let zones = |(table, lines): (&u16, &Weights)| (*table, zones(state, &normalize(lines)));
-        self.coming = proposals.iter().map(zones).collect();
+        let zones = |(table, weights): (&u16, &Weights)| (*table, zones(state, &normalize(weights)));
+        self.proposed_zones = proposals.iter().map(zones).collect();
     }
 
-    /// Zones that tables but one go to, once all that are on their way are laid.
-    fn elsewhere(&self, but: u16) -> BTreeSet<u16> {
-        let coming = self.coming.iter();
-        let laid = self.tables.iter().filter(|(table, _)| !self.coming.contains_key(table));
-        let zones = coming.chain(laid.map(|(table, held)| (table, &held.zones)));
-        zones.filter(|(table, _)| **table != but).flat_map(|(_, zones)| zones).copied().collect()
+    /// Zones of all tables but one, assuming that all proposals of the round are published.
+    fn other_zones(&self, except: u16) -> BTreeSet<u16> {
+        let unchanged = self.tables.iter().filter(|(table, _)| !self.proposed_zones.contains_key(table));
+        let zones =
+            self.proposed_zones.iter().chain(unchanged.map(|(table, current)| (table, &current.zones)));
+        zones.filter(|(table, _)| **table != except).flat_map(|(_, zones)| zones).copied().collect()
     }
 
-    /// Judges a table and says what is to be laid: the proposal itself (its weights untouched), or another.
+    /// Checks a table. Returns the table to publish instead, or `None` to publish the proposal with its weights
+    /// unchanged.
     pub fn evaluate(&mut self, state: &State, table: u16, proposed: &Weights) -> (Verdict, Option<Weights>) {
-        let wanted = normalize(proposed);
+        let shares = normalize(proposed);
         self.loads.expire(state.now);
         for (table, demand) in &state.demand {
             self.loads.set_demand(*table, *demand);
         }
-        let (none, elsewhere) = (Held::default(), self.elsewhere(table));
-        let held = self.tables.get(&table).unwrap_or(&none);
+        let (empty, other_zones) = (Table::default(), self.other_zones(table));
+        let current = self.tables.get(&table).unwrap_or(&empty);
         let context = CheckContext {
             state,
             config: &self.config,
             loads: &self.loads,
             pins: &self.pins,
             table,
-            before: &held.lines,
-            earlier: &held.earlier,
-            typical: state.typical_rate(),
-            elsewhere: &elsewhere,
+            before: &current.shares,
+            earlier: &current.earlier,
+            typical_rate: state.typical_rate(),
+            other_zones: &other_zones,
         };
-        let findings = self.findings(&context, proposed, &wanted);
-        let (outcome, instead) = self.decide(&context, &wanted, &findings);
-        self.lay(state, table, instead.as_ref().unwrap_or(&wanted));
+        let findings = self.findings(&context, proposed, &shares);
+        let (outcome, replacement) = self.decide(&context, &shares, &findings);
+        self.publish(state, table, replacement.as_ref().unwrap_or(&shares));
         let fits = if let Outcome::Nearest { fits, .. } = outcome { fits } else { 1.0 };
-        let relief = &mut self.tables.entry(table).or_default().relief;
-        let mut follows = relief.unwrap_or(AdmissionLimit::unlimited(state.now));
-        // What failed long ago refuses nobody now: reports may have stopped under way.
-        let fresh = state.now - state.measured_at <= self.config.answers_within;
-        follows.update(fits, if fresh { state.failure_rate } else { 0.0 }, state.now);
-        *relief = Some(follows).filter(|relief| relief.share < 1.0);
+        let admission = &mut self.tables.entry(table).or_default().admission;
+        let mut limit = admission.unwrap_or(AdmissionLimit::unlimited(state.now));
+        // Old failures refuse no queries: reports may have stopped since.
+        let is_recent = state.now - state.measured_at <= self.config.answers_within;
+        limit.update(fits, if is_recent { state.failure_rate } else { 0.0 }, state.now);
+        *admission = Some(limit).filter(|limit| limit.share < 1.0);
         let verdict = Verdict { table, at: state.now, findings, outcome };
-        self.note(&verdict);
-        (verdict, instead)
+        self.record(&verdict);
+        (verdict, replacement)
     }
 
     fn decide(
         &self,
         context: &CheckContext,
-        wanted: &Weights,
+        shares: &Weights,
         findings: &[Finding],
     ) -> (Outcome, Option<Weights>) {
         if findings.is_empty() {
-            let empty = wanted.is_empty() && !context.before.is_empty();
-            return (if empty { Outcome::Empty } else { Outcome::Fine }, None);
+            let emptied = shares.is_empty() && !context.before.is_empty();
+            return (if emptied { Outcome::Empty } else { Outcome::Fine }, None);
         }
         if self.mode == Mode::Report {
             return (Outcome::Reported, None);
         }
-        // Odd weights alone are dropped: what is left was found fine.
+        // If only some weights are invalid, the rest of the table has passed all checks.
         if findings.iter().all(|finding| finding.check == Check::NotFinite) {
-            return (Outcome::Nearest { moved: 0.0, fits: 1.0 }, Some(wanted.clone()));
+            return (Outcome::Nearest { moved: 0.0, fits: 1.0 }, Some(shares.clone()));
         }
-        if context.may_stay() {
+        if context.may_keep() {
             return (Outcome::Kept, Some(context.before.clone()));
         }
-        let found = nearest(context, wanted);
-        // What was refused for its fragility alone goes out where the nearest is no better.
-        let fragile = findings.iter().all(|finding| finding.check == Check::Fragile);
-        if found.lines.is_empty() || fragile && context.fragile(&found.lines).is_some() {
+        let nearest = nearest(context, shares);
+        // A table whose only finding is that it is fragile is published if the nearest one is fragile too.
+        let only_fragile = findings.iter().all(|finding| finding.check == Check::Fragile);
+        if nearest.shares.is_empty() || only_fragile && context.fragile(&nearest.shares).is_some() {
             return (Outcome::NothingBetter, None);
         }
-        (Outcome::Nearest { moved: found.moved, fits: found.fits }, Some(found.lines))
+        (Outcome::Nearest { moved: nearest.moved, fits: nearest.fits }, Some(nearest.shares))
     }
 
-    /// What is in place before the guard was asked anything.
-    pub fn set_current(&mut self, state: &State, table: u16, lines: &Weights) {
-        self.lay(state, table, &normalize(lines));
+    /// Sets the table in place without checking it.
+    pub fn set_current(&mut self, state: &State, table: u16, weights: &Weights) {
+        self.publish(state, table, &normalize(weights));
     }
 
-    /// A table is laid by parts, judged or not.
-    fn lay(&mut self, state: &State, table: u16, lines: &Weights) {
-        self.loads.publish(table, lines, state.now, self.max_table_lifetime);
-        let held = self.tables.entry(table).or_default();
-        if state.now - held.turned_at >= self.config.window {
-            held.earlier = std::mem::replace(&mut held.next, held.lines.clone());
-            held.turned_at = state.now;
+    /// Records a table, as shares, as published.
+    fn publish(&mut self, state: &State, table: u16, shares: &Weights) {
+        self.loads.publish(table, shares, state.now, self.max_table_lifetime);
+        let current = self.tables.entry(table).or_default();
+        if state.now - current.window_started_at >= self.config.window {
+            current.earlier = std::mem::replace(&mut current.next, current.shares.clone());
+            current.window_started_at = state.now;
         }
-        for empty in [&mut held.earlier, &mut held.next].into_iter().filter(|then| then.is_empty()) {
-            empty.clone_from(&held.lines);
+        for version in [&mut current.earlier, &mut current.next] {
+            if version.is_empty() {
+                version.clone_from(&current.shares);
+            }
         }
-        held.lines.clone_from(lines);
-        held.zones = zones(state, lines);
+        current.shares.clone_from(shares);
+        current.zones = zones(state, shares);
     }
 
-    /// The part of a table's queries that is let in, where it is less than all.
+    /// The limit on a table's admitted queries; `None` if all are admitted.
     pub fn admission_limit(&self, table: u16) -> Option<&AdmissionLimit> {
-        self.tables.get(&table)?.relief.as_ref().filter(|_| self.mode == Mode::Enforce)
+        self.tables.get(&table)?.admission.as_ref().filter(|_| self.mode == Mode::Enforce)
     }
 
-    fn note(&mut self, verdict: &Verdict) {
+    /// Counts a verdict and keeps it unless it is fine.
+    fn record(&mut self, verdict: &Verdict) {
         *self.outcomes.entry(verdict.outcome.name()).or_default() += 1;
         for finding in &verdict.findings {
             *self.findings.entry(finding.check.name()).or_default() += 1;
         }
         if verdict.outcome != Outcome::Fine {
-            if self.told.len() == TOLD {
-                self.told.pop_front();
+            if self.verdicts.len() == MAX_VERDICTS {
+                self.verdicts.pop_front();
             }
-            self.told.push_back(verdict.clone());
+            self.verdicts.push_back(verdict.clone());
         }
     }
 
     /// The last verdicts that were not fine, newest first.
     pub fn recent_verdicts(&self) -> impl Iterator<Item = &Verdict> {
-        self.told.iter().rev()
+        self.verdicts.iter().rev()
     }
 
-    /// The mode of further tries that may go out for a class: one that must not run twice has none but where
-    /// it is proven not to have run.
-    pub fn retry_mode(&mut self, table: u16, class: u16, once: bool, tries: u8, now: f64) -> u8 {
-        if !once || tries <= RETRY_UNPROCESSED || self.is_lifted(Check::Twice, now) {
-            return tries;
+    /// Checks a class's retry mode. A class that must not run twice (`once`) may only be retried where it is certain
+    /// that it did not run; any other mode is replaced by no retries.
+    pub fn retry_mode(&mut self, table: u16, class: u16, once: bool, mode: u8, now: f64) -> u8 {
+        if !once || mode <= RETRY_UNPROCESSED || self.is_overridden(Check::Twice, now) {
+            return mode;
         }
         let finding = Finding {
             check: Check::Twice,
@@ -299,15 +309,15 @@
         };
         let enforced = self.mode == Mode::Enforce;
         let outcome = if enforced { Outcome::Nearest { moved: 0.0, fits: 1.0 } } else { Outcome::Reported };
-        self.note(&Verdict { table, at: now, findings: vec![finding], outcome });
+        self.record(&Verdict { table, at: now, findings: vec![finding], outcome });
         if enforced {
             NO_RETRY
         } else {
-            tries
+            mode
         }
     }
 
-    /// Words that have run out are forgotten.
+    /// Removes expired overrides, pins and table versions.
     pub fn expire(&mut self, now: f64) {
         self.overrides.retain(|o| o.expires_at > now);
         self.pins.retain(|pin| pin.expires_at > now);
--- a/guard/src/lib.rs
+++ b/guard/src/lib.rs
@@ -1,8 +1,8 @@
-//! Judges tables before they go out, whoever wrote them.
+//! Checks tables before they are published, whoever made them.
 //!
-//! No I/O, no clock, no chance. [`State`] is what is known of servers and demand, [`Loads`] what all tables
-//! that may be in use ask of each server, [`Guard`] judges a proposal against both and says what is to be laid
-//! instead where it must not go out. `docs/notes/0003-table-guard.md` weighs the options.
+//! No I/O, no clock, no randomness. [`State`] is what is known of servers and demand, [`Loads`] the load that all
+//! tables in use may put on each server. [`Guard`] checks a proposal against both and, if it must not be published,
+//! returns the table to publish instead. `docs/notes/0003-table-guard.md` discusses the design.
 
 mod admission;
 mod checks;
@@ -25,19 +25,20 @@
 use oatlever::round::Address;
 use std::collections::BTreeMap;
 
-/// Weights, or parts of a whole, by server.
+/// Weights by server, or shares that add up to 1.
 pub type Weights = BTreeMap<Address, f64>;
 
-/// Parts of the whole; lines that weigh nothing, or no finite number, are left out.
-pub fn normalize(lines: &Weights) -> Weights {
-    let open = lines.iter().filter(|(_, weight)| weight.is_finite() && **weight > 0.0);
-    // The greatest first, as a sum of very large weights may be no number.
-    let most = open.clone().map(|(_, weight)| *weight).fold(0.0, f64::max);
-    let scaled = open.map(|(server, weight)| (*server, weight / most));
-    let all: f64 = scaled.clone().map(|(_, weight)| weight).sum();
-    scaled.map(|(server, weight)| (server, weight / all)).filter(|(_, part)| *part > 0.0).collect()
+/// Turns weights into shares of their sum. Entries whose weight is not positive or not finite are left out.
+pub fn normalize(weights: &Weights) -> Weights {
+    let valid = weights.iter().filter(|(_, weight)| weight.is_finite() && **weight > 0.0);
+    // Dividing by the largest weight first keeps the sum of very large weights finite.
+    let max = valid.clone().map(|(_, weight)| *weight).fold(0.0, f64::max);
+    let scaled = valid.map(|(server, weight)| (*server, weight / max));
+    let sum: f64 = scaled.clone().map(|(_, weight)| weight).sum();
+    scaled.map(|(server, weight)| (server, weight / sum)).filter(|(_, share)| *share > 0.0).collect()
 }
 
-pub(crate) fn part(lines: &Weights, server: &Address) -> f64 {
-    lines.get(server).copied().unwrap_or(0.0)
+/// The share of a server; 0 if it isn't in the table.
+pub(crate) fn share(shares: &Weights, server: &Address) -> f64 {
+    shares.get(server).copied().unwrap_or(0.0)
 }
--- a/guard/src/loads.rs
+++ b/guard/src/loads.rs
@@ -1,155 +1,157 @@
-//! What all tables that may be in use ask of each server.
+//! Tracks the load that all tables in use may put on each server.
 //!
-//! A proxy may hold the table laid last or any laid since the longest way of a message ago, so a server
-//! counts with the greatest part that it has in any of them. Each line keeps the parts it had within that
-//! time in a queue that only falls, so that the greatest is its front. What servers are asked for in all is
-//! kept as sums that follow each change, so that a change costs in proportion to the lines of its table and a
-//! question nothing that grows with the number of tables.
+//! A proxy may use the last table or any version replaced within the maximum table lifetime, so a server counts with
+//! its largest share in any of them. Each entry keeps its former shares of that time in a monotonic queue whose
+//! front is the largest. The total load of each server is kept as a sum that is adjusted with each change: a change
+//! costs time in proportion to the entries of its table, and a query doesn't depend on the number of tables.
 
 use crate::Weights;
 use oatlever::round::Address;
 use std::collections::{BTreeMap, VecDeque};
 
+/// A server's share in all versions of a table that may be in use.
 #[derive(Clone, Debug, Default)]
-struct Line {
-    /// In the table laid last.
-    part: f64,
-    /// Parts it had, and until when they may be in use, s: later ones are smaller.
-    past: VecDeque<(f64, f64)>,
+struct Entry {
+    /// Share in the last version.
+    share: f64,
+    /// When the use of former versions ends, s, and their shares, in decreasing order.
+    former: VecDeque<(f64, f64)>,
 }
 
-impl Line {
-    fn most(&self) -> f64 {
-        self.past.front().map_or(self.part, |(_, part)| part.max(self.part))
+impl Entry {
+    fn max_share(&self) -> f64 {
+        self.former.front().map_or(self.share, |(_, share)| share.max(self.share))
     }
 
-    fn change(&mut self, part: f64, until: f64) {
-        let old = std::mem::replace(&mut self.part, part);
-        while self.past.back().is_some_and(|(_, smaller)| *smaller <= old) {
-            self.past.pop_back();
+    /// Sets the share; the old one may be in use until a time.
+    fn set(&mut self, share: f64, until: f64) {
+        let old = std::mem::replace(&mut self.share, share);
+        while self.former.back().is_some_and(|(_, smaller)| *smaller <= old) {
+            self.former.pop_back();
         }
         if old > 0.0 {
-            self.past.push_back((until, old));
+            self.former.push_back((until, old));
         }
     }
 
     fn expire(&mut self, now: f64) {
-        while self.past.front().is_some_and(|(until, _)| *until <= now) {
-            self.past.pop_front();
+        while self.former.front().is_some_and(|(until, _)| *until <= now) {
+            self.former.pop_front();
         }
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Table {
-    lines: BTreeMap<Address, Line>,
-    /// Queries a second of its users.
+    entries: BTreeMap<Address, Entry>,
+    /// Queries per second of the table's users.
     demand: f64,
 }
 
-/// What a server is asked for.
+/// The total load of a server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
-    /// Queries a second.
+struct ServerLoad {
+    /// Queries per second.
     queries: f64,
-    /// Tables with a line for it in any version in use.
-    lines: u32,
+    /// Number of tables with an entry for the server in any version in use.
+    tables: u32,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     tables: BTreeMap<u16, Table>,
-    sums: BTreeMap<Address, Sum>,
-    /// When something of a table may have run out, s; in order of time, as the way is always as long.
-    ends: VecDeque<(f64, u16)>,
+    servers: BTreeMap<Address, ServerLoad>,
+    /// When some version of a table expires, s; in chronological order, as the lifetime is constant.
+    expirations: VecDeque<(f64, u16)>,
 }
 
-/// A line changes, and the sum of its server with it.
-fn follow(
-    sums: &mut BTreeMap<Address, Sum>,
+/// Changes an entry and adjusts its server's total.
+fn update_entry(
+    servers: &mut BTreeMap<Address, ServerLoad>,
     demand: f64,
     server: Address,
-    line: &mut Line,
-    change: impl FnOnce(&mut Line),
+    entry: &mut Entry,
+    change: impl FnOnce(&mut Entry),
 ) {
-    let most = line.most();
-    change(line);
-    let sum = sums.entry(server).or_default();
-    sum.queries += (line.most() - most) * demand;
+    let max_share = entry.max_share();
+    change(entry);
+    servers.entry(server).or_default().queries += (entry.max_share() - max_share) * demand;
 }
 
 impl Loads {
-    /// A table is laid, by parts; what was before may be in use for `way` s more.
-    pub fn publish(&mut self, table: u16, parts: &Weights, now: f64, way: f64) {
+    /// Publishes a table, as shares. The version before may be in use for `max_table_lifetime` s more.
+    pub fn publish(&mut self, table: u16, shares: &Weights, now: f64, max_table_lifetime: f64) {
         self.expire(now);
-        let Loads { tables, sums, ends } = self;
-        let held = tables.entry(table).or_default();
-        let until = now + way;
+        let Loads { tables, servers, expirations } = self;
+        let table_state = tables.entry(table).or_default();
+        let until = now + max_table_lifetime;
         let mut changed = false;
-        for server in
-            parts.keys().filter(|server| !held.lines.contains_key(server)).copied().collect::<Vec<_>>()
-        {
-            held.lines.insert(server, Line::default());
-            sums.entry(server).or_default().lines += 1;
+        let added = shares.keys().filter(|server| !table_state.entries.contains_key(server));
+        for server in added.copied().collect::<Vec<_>>() {
+            table_state.entries.insert(server, Entry::default());
+            servers.entry(server).or_default().tables += 1;
         }
-        for (server, line) in &mut held.lines {
-            let part = parts.get(server).copied().unwrap_or(0.0);
-            if line.part != part {
+        for (server, entry) in &mut table_state.entries {
+            let share = shares.get(server).copied().unwrap_or(0.0);
+            if entry.share != share {
                 changed = true;
-                follow(sums, held.demand, *server, line, |line| line.change(part, until));
+                let set = |entry: &mut Entry| entry.set(share, until);
+                update_entry(servers, table_state.demand, *server, entry, set);
             }
         }
         if changed {
-            ends.push_back((until, table));
+            expirations.push_back((until, table));
         }
     }
 
-    /// The users of a table bring so many queries a second from now on.
+    /// Sets the queries per second of a table's users.
     pub fn set_demand(&mut self, table: u16, demand: f64) {
-        let held = self.tables.entry(table).or_default();
-        let more = demand - std::mem::replace(&mut held.demand, demand);
-        if more != 0.0 {
-            for (server, line) in &held.lines {
-                self.sums.entry(*server).or_default().queries += more * line.most();
+        let table_state = self.tables.entry(table).or_default();
+        let increase = demand - std::mem::replace(&mut table_state.demand, demand);
+        if increase != 0.0 {
+            for (server, entry) in &table_state.entries {
+                self.servers.entry(*server).or_default().queries += increase * entry.max_share();
             }
         }
     }
 
-    /// Forgets what nobody can hold any more.
+    /// Removes versions that can no longer be in use.
     pub fn expire(&mut self, now: f64) {
-        let Loads { tables, sums, ends } = self;
-        while ends.front().is_some_and(|(until, _)| *until <= now) {
-            let Some(held) = ends.pop_front().and_then(|(_, table)| tables.get_mut(&table)) else { continue };
-            let demand = held.demand;
-            held.lines.retain(|server, line| {
-                follow(sums, demand, *server, line, |line| line.expire(now));
-                let stays = line.part > 0.0 || !line.past.is_empty();
-                if let Some(sum) = sums.get_mut(server).filter(|_| !stays) {
-                    sum.lines -= 1;
-                    // With the last line goes what rounding left, and the memory: addresses come and go for
-                    // as long as a pilot lives.
-                    if sum.lines == 0 {
-                        sums.remove(server);
+        let Loads { tables, servers, expirations } = self;
+        while expirations.front().is_some_and(|(until, _)| *until <= now) {
+            let Some(table) = expirations.pop_front().and_then(|(_, table)| tables.get_mut(&table)) else {
+                continue;
+            };
+            let demand = table.demand;
+            table.entries.retain(|server, entry| {
+                update_entry(servers, demand, *server, entry, |entry| entry.expire(now));
+                let in_use = entry.share > 0.0 || !entry.former.is_empty();
+                if let Some(load) = servers.get_mut(server).filter(|_| !in_use) {
+                    load.tables -= 1;
+                    // Removing the server with its last entry clears rounding errors and bounds the memory, as
+                    // addresses come and go for the lifetime of a pilot.
+                    if load.tables == 0 {
+                        servers.remove(server);
                     }
                 }
-                stays
+                in_use
             });
         }
     }
 
-    /// Servers that are remembered: those with a line in any version in use.
+    /// Number of servers with an entry in any version in use.
     pub fn server_count(&self) -> usize {
-        self.sums.len()
+        self.servers.len()
     }
 
-    /// The greatest part that a server has in any version of a table in use.
+    /// The largest share of a server in any version of a table in use.
     pub fn max_share(&self, table: u16, server: &Address) -> f64 {
-        self.tables.get(&table).and_then(|held| held.lines.get(server)).map_or(0.0, Line::most)
+        self.tables.get(&table).and_then(|table| table.entries.get(server)).map_or(0.0, Entry::max_share)
     }
 
-    /// Queries a second that all tables but one ask of a server at most.
-    pub fn load_from_others(&self, but: u16, server: &Address) -> f64 {
-        let own = self.tables.get(&but).map_or(0.0, |held| held.demand) * self.max_share(but, server);
-        self.sums.get(server).map_or(0.0, |sum| (sum.queries - own).max(0.0))
+    /// Maximum queries per second that a server may receive from all tables but one.
+    pub fn load_from_others(&self, table: u16, server: &Address) -> f64 {
+        let own = self.tables.get(&table).map_or(0.0, |table| table.demand) * self.max_share(table, server);
+        self.servers.get(server).map_or(0.0, |load| (load.queries - own).max(0.0))
     }
 }
