--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -11,13 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// What the guard does with tables that fail a check.
+/// What the guard does with a table that fails a check: report it, or enforce the check by publishing another table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
     /// Reports its findings and publishes every table.
     Report,
-    /// Publishes another table instead.
     #[default]
     Enforce,
 }
--- a/settings/src/shape.rs
+++ b/settings/src/shape.rs
@@ -1,4 +1,4 @@
-//! What settings look like. The comments here are the schema's descriptions.
+//! The structure of the settings. The doc comments of its types and fields are the descriptions in the schema.
 
 use oatlever_guard::{GuardConfig, Mode};
 use schemars::JsonSchema;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Names of the zones; a zone's number is its place here.
+    /// Names of the zones; a zone's number is its index here.
     #[schemars(length(min = 1, max = 256))]
     pub zones: Vec<String>,
     /// The query classes, at most 16.
@@ -20,67 +20,67 @@
     pub channel: Channel,
     pub roster: Roster,
     pub reports: Reports,
-    /// Checks of servers' health; left out, servers are never checked.
+    /// Health checks of servers; none if left out.
     #[serde(default)]
     pub checks: Option<Checks>,
-    /// Who asks: proxies with counters of their own, and groups of clients known by their addresses.
+    /// The askers: proxies with their own counters, and groups of clients identified by their addresses.
     #[schemars(length(min = 1, max = 65000))]
     pub askers: Vec<Asker>,
     pub dns: Dns,
-    /// xDS streams for proxies that are named by `node`.
+    /// xDS streams for proxies identified by `node`.
     #[serde(default)]
     pub xds: Option<Xds>,
     pub status: Status,
-    /// Commands to the running pilot, from this machine.
+    /// Commands to the running pilot from the same machine.
     #[serde(default)]
     pub control: Option<Control>,
-    /// A look at every table before it goes out; none without.
+    /// Checks of every table before it is published; none if left out.
     #[serde(default)]
     pub guard: Option<Guard>,
-    /// What servers and ways cost; queries stay in their zone as far as its servers go without.
+    /// Prices of servers and links. If left out, queries stay in their zone as far as its servers have capacity.
     #[serde(default)]
     pub costs: Option<Costs>,
 }
 
-/// Prices, in any unit that all of them share.
+/// Prices, all in the same unit.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Costs {
-    /// For a query answered, by the zone that answers it; of every zone.
+    /// Price per answered query for every zone, by the zone that answers it.
     pub prices: BTreeMap<String, f64>,
-    /// Ways between zones; a way that is not named costs nothing and takes no time.
+    /// Links between zones; a link that is left out costs nothing and has no latency.
     #[serde(default)]
     pub links: Vec<ZoneLink>,
     #[serde(default)]
     pub figures: oatlever_cost::PlannerConfig,
 }
 
-/// The way between two zones, there and back alike.
+/// The link between two zones, the same in both directions.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Way")]
 pub struct ZoneLink {
-    /// Two zones.
+    /// Names of the two zones.
     #[schemars(length(min = 2, max = 2))]
     pub between: Vec<String>,
-    /// For each query that crosses it.
+    /// Price per query that crosses the link.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub price: f64,
-    /// s one way.
+    /// One-way latency, s.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub time: f64,
-    /// Nothing may cross it.
+    /// No query may cross the link.
     #[serde(default)]
     pub closed: bool,
 }
 
-/// What tables must keep to go out, and what becomes of those that don't.
+/// Conditions for publishing a table, and what is done with tables that fail them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Guard {
-    /// `report` says what it finds, `enforce` lays another table.
+    /// `report` reports findings, `enforce` publishes another table instead.
     pub mode: Mode,
     pub figures: GuardConfig,
 }
@@ -88,16 +88,16 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Path of a Unix socket, which only the pilot's own user may use.
+    /// Path of a Unix socket that only the pilot's user may use.
     #[schemars(length(min = 1, max = 100))]
     pub socket: String,
-    /// Versions kept of each table.
-    #[serde(default = "versions")]
+    /// Number of versions kept of each table.
+    #[serde(default = "default_versions")]
     #[schemars(range(min = 1, max = 10_000))]
     pub versions: usize,
 }
 
-fn versions() -> usize {
+fn default_versions() -> usize {
     64
 }
 
@@ -107,145 +107,145 @@
     /// A DNS label: letters, digits and hyphens.
     #[schemars(length(min = 1, max = 62))]
     pub name: String,
-    /// What an answer within the due time is worth.
+    /// Benefit of an answer within the due time.
     #[schemars(range(min = 0.0, max = 1e9))]
     pub benefit: f64,
-    /// s; an answer within this earns the whole benefit.
+    /// s; an answer within this time has the full benefit.
     #[schemars(range(min = 0.001, max = 3600.0))]
     pub due_time: f64,
-    /// It must never run twice.
+    /// Queries of this class must never run twice.
     #[serde(default)]
     pub once: bool,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// s; sending to a server stops this long after the pilot was told that it drains or is gone.
+    /// s; maximum time until no more queries are sent to a server after the pilot learns that it is draining or gone.
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub drain_grace: f64,
-    /// s; nobody goes without a line to pick for longer.
+    /// s; maximum time that an asker may be without a usable server.
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub without_server: f64,
-    /// Part of its capacity that a server has when it starts.
+    /// Fraction of its capacity that a server has when it starts.
     #[schemars(range(min = 0.001, max = 1.0))]
     pub cold_share: f64,
-    /// s; a server is warm so long after its start.
+    /// s; a server is warm this long after its start.
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub warm_within: f64,
-    /// Times what it can do at the moment; a cold server sent more falls over.
+    /// A cold server fails under more than this multiple of its present capacity.
     #[schemars(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
-    /// The list may err: a server that is dropped from it and still answers is kept.
+    /// The list may be wrong: a server that disappears from it but still answers is kept.
     #[serde(default)]
     pub gone_does_not_bind: bool,
 }
 
-/// Bounds on what is under way to those who ask.
+/// Limits on changes on their way to askers.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Channel {
-    /// Changed lines a second, counted at each asker concerned, that the front can hand out for long.
+    /// Changed table entries per second, counted for each affected asker, that the front can sustain.
     #[schemars(range(min = 1.0, max = 1e9))]
     pub lines_per_second: f64,
-    /// Changed lines, counted at each asker concerned, that may be ordered and not yet handed out.
+    /// Maximum number of changed table entries, counted for each affected asker, that are not yet delivered.
     #[schemars(range(min = 1.0, max = 1e9))]
     pub most_waiting: f64,
-    /// Changes to one asker within `window`; 0 means no such limit.
+    /// Maximum number of changes to one asker within `window`; 0 for no limit.
     #[serde(default)]
     #[schemars(range(max = 100000))]
     pub most_messages: usize,
-    /// s
-    #[serde(default = "ten")]
+    /// s; the time to which `most_messages` applies.
+    #[serde(default = "default_window")]
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub window: f64,
 }
 
-fn ten() -> f64 {
+fn default_window() -> f64 {
     10.0
 }
 
-/// The list of servers: a document of the Prometheus service discovery format, by HTTP or in a file.
+/// The list of servers: a document in the Prometheus service discovery format, by HTTP or from a file.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Roster {
     /// `http://host:port/path`, or `file:///path`.
     pub source: String,
-    /// s between readings.
+    /// s between requests.
     #[schemars(range(min = 0.05, max = 600.0))]
     pub period: f64,
-    /// s; a reading that takes longer has failed.
+    /// s; timeout of a request.
     #[schemars(range(min = 0.01, max = 600.0))]
     pub patience: f64,
-    /// The largest document read, in bytes.
-    #[serde(default = "roster_bytes")]
+    /// Maximum size of the document, in bytes.
+    #[serde(default = "default_roster_bytes")]
     #[schemars(range(min = 64, max = 1_000_000_000))]
     pub most_bytes: usize,
-    /// A file that keeps the last good list for the next start.
+    /// A file that stores the last valid list for the next start.
     #[serde(default)]
     pub cache: Option<String>,
 }
 
-fn roster_bytes() -> usize {
+fn default_roster_bytes() -> usize {
     16 << 20
 }
 
-/// Sums of what proxies and servers met: their counters as OpenMetrics text.
+/// Reports of proxies and servers: their counters as OpenMetrics text.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Reports {
-    /// s; each target is read once in this time.
+    /// s; each target is scraped once in this time.
     #[schemars(range(min = 0.1, max = 600.0))]
     pub period: f64,
-    /// s; a reading that takes longer has failed.
+    /// s; timeout of a scrape.
     #[schemars(range(min = 0.01, max = 600.0))]
     pub patience: f64,
-    /// Readings under way at once.
-    #[serde(default = "at_once")]
+    /// Maximum number of concurrent scrapes.
+    #[serde(default = "default_at_once")]
     #[schemars(range(min = 1, max = 10000))]
     pub at_once: usize,
-    /// The largest text read, in bytes.
-    #[serde(default = "report_bytes")]
+    /// Maximum size of a target's text, in bytes.
+    #[serde(default = "default_report_bytes")]
     #[schemars(range(min = 64, max = 1_000_000_000))]
     pub most_bytes: usize,
 }
 
-fn at_once() -> usize {
+fn default_at_once() -> usize {
     64
 }
 
-fn report_bytes() -> usize {
+fn default_report_bytes() -> usize {
     4 << 20
 }
 
-/// Health checks: `GET path` at the server, 200 means fine.
+/// Health checks: `GET path` at the server; status 200 means healthy.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Checks {
     pub path: String,
-    /// s
+    /// s; timeout of a check.
     #[schemars(range(min = 0.01, max = 600.0))]
     pub patience: f64,
 }
 
-/// A proxy, or a group of clients that ask for themselves.
+/// A proxy, or a group of clients that send DNS queries themselves.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Asker {
     pub name: String,
-    /// The zone it sits in.
+    /// The zone that it is in.
     pub zone: String,
-    /// Source prefixes, as `10.1.0.0/16`. None: whoever else asks for that zone by name.
+    /// Source prefixes, such as `10.1.0.0/16`. If empty: every other source that asks for the zone by name.
     #[serde(default)]
     pub prefixes: Vec<String>,
-    /// Where its counters are read, `http://host:port/path`. Left out, servers' counters by client count.
+    /// URL of its counters, `http://host:port/path`. If left out, the servers' counters by client are used.
     #[serde(default)]
     pub metrics: Option<String>,
-    /// The name it gives itself on an xDS stream. It asks by no other way then.
+    /// The node name on its xDS stream. An asker with a node uses no other front.
     #[serde(default)]
     pub node: Option<String>,
-    /// Queries a second it usually gets.
+    /// Usual queries per second.
     #[schemars(range(min = 0.0, max = 1e9))]
     pub usual_rate: f64,
 }
@@ -256,53 +256,54 @@
 pub struct Xds {
     #[schemars(length(min = 1, max = 64))]
     pub listen: Vec<SocketAddr>,
-    /// s; a proxy that neither acknowledges nor refuses what it was sent for so long is cut off.
+    /// s; a stream is closed if the proxy neither acknowledges nor refuses an update for this long.
     #[schemars(range(min = 0.1, max = 600.0))]
     pub patience: f64,
-    /// The largest message read, in bytes.
-    #[serde(default = "message_bytes")]
+    /// Maximum size of a message, in bytes.
+    #[serde(default = "default_message_bytes")]
     #[schemars(range(min = 1024, max = 100_000_000))]
     pub most_bytes: usize,
-    /// Open connections in all.
-    #[serde(default = "connections")]
+    /// Maximum number of open connections.
+    #[serde(default = "default_connections")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// Keys; connections are plain without.
+    /// TLS keys and certificates; connections are in plain text if left out.
     #[serde(default)]
     pub tls: Option<Tls>,
-    /// Which identity may be which node; with none, whoever can connect may be any.
+    /// Identities that may connect as a node. If empty, every client may connect as any node.
     #[serde(default)]
     pub grants: Vec<Grant>,
 }
 
-/// Files are read at the start and looked at again and again; what changed counts for new connections.
+/// TLS files. They are checked for changes regularly; changes apply to new connections.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// The pilot's certificate and those above it, PEM.
+    /// File with the pilot's certificate chain, PEM.
     #[schemars(length(min = 1))]
     pub certificate: String,
-    /// Its private key, PEM.
+    /// File with the private key, PEM.
     #[schemars(length(min = 1))]
     pub key: String,
-    /// Certificates of those whose word on proxies is taken, PEM; proxies show none without.
+    /// File with the authorities that sign proxies' certificates, PEM. If left out, no client certificates are
+    /// requested.
     #[serde(default)]
     pub authorities: Option<String>,
-    /// s between looks at the files.
-    #[serde(default = "five")]
+    /// s between checks of the files for changes.
+    #[serde(default = "default_look_again")]
     #[schemars(range(min = 0.05, max = 3600.0))]
     pub look_again: f64,
 }
 
-fn five() -> f64 {
+fn default_look_again() -> f64 {
     5.0
 }
 
-/// An identity and what it may be: a node, or any node of a zone.
+/// Allows an identity to connect as a node, or as any node of a zone.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// A URI or DNS name in the proxy's certificate; one that ends in `*` stands for all that begin like it.
+    /// A URI or DNS name in the proxy's certificate; a trailing `*` matches any rest.
     #[schemars(length(min = 1, max = 2048))]
     pub identity: String,
     #[serde(default)]
@@ -311,97 +312,97 @@
     pub zone: Option<String>,
 }
 
-fn message_bytes() -> usize {
+fn default_message_bytes() -> usize {
     1 << 20
 }
 
-fn connections() -> usize {
+fn default_connections() -> usize {
     4096
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Dns {
-    /// UDP and TCP are served on each.
+    /// Addresses served over both UDP and TCP.
     #[schemars(length(min = 1, max = 64))]
     pub listen: Vec<SocketAddr>,
-    /// The zone answered for, as `shops.example`.
+    /// The DNS zone that is served, such as `shops.example`.
     pub origin: String,
-    /// The address of this name server, for NS and its address.
+    /// The address of this name server, for the A record of its NS name.
     pub address: Ipv4Addr,
-    /// s; lifetime (TTL) of answers.
+    /// s; TTL of answers.
     #[schemars(range(min = 0, max = 3600))]
     pub lifetime: u32,
-    /// s; resolvers may keep answers this much longer than their lifetime.
+    /// s; resolvers may keep answers this much longer than their TTL.
     #[schemars(range(min = 0.0, max = 3600.0))]
     pub overstay: f64,
-    /// Largest answer over UDP, in bytes.
-    #[serde(default = "udp_bytes")]
+    /// Maximum size of an answer over UDP, in bytes.
+    #[serde(default = "default_udp_bytes")]
     #[schemars(range(min = 512, max = 4096))]
     pub udp_bytes: u16,
-    /// Addresses in an A answer.
-    #[serde(default = "addresses")]
+    /// Maximum number of addresses in an A answer.
+    #[serde(default = "default_addresses")]
     #[schemars(range(min = 1, max = 64))]
     pub addresses: usize,
-    /// Prefixes of resolvers whose EDNS Client Subnet is believed.
+    /// Prefixes of resolvers whose EDNS Client Subnet option is trusted.
     #[serde(default)]
     pub trusted_resolvers: Vec<String>,
     #[serde(default)]
     pub limits: DnsLimits,
-    /// A ledger of what was handed out, by which cold servers are spared; none without.
+    /// A ledger of the addresses handed out, used to protect cold servers; none if left out.
     #[serde(default)]
     pub ledger: Option<DnsLedger>,
 }
 
-/// What is remembered of handed-out addresses.
+/// The ledger of addresses handed out.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DnsLedger {
-    /// Askers remembered at once, each for every class that it asks for.
-    #[serde(default = "askers")]
+    /// Maximum number of askers in the ledger, counted for each class that they ask for.
+    #[serde(default = "default_ledger_askers")]
     #[schemars(range(min = 16, max = 10_000_000))]
     pub askers: usize,
-    /// s; lifetime of address answers while a server of their table is cold; `lifetime` where left out.
+    /// s; TTL of address answers while a server of their table is cold; `lifetime` if left out.
     #[serde(default)]
     #[schemars(range(min = 0, max = 3600))]
     pub lifetime_short: Option<u32>,
 }
 
-fn askers() -> usize {
+fn default_ledger_askers() -> usize {
     65_536
 }
 
-fn udp_bytes() -> u16 {
+fn default_udp_bytes() -> u16 {
     1232
 }
 
-fn addresses() -> usize {
+fn default_addresses() -> usize {
     4
 }
 
-/// What one source may take.
+/// Limits on queries and connections.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DnsLimits {
-    /// Answers a second to one prefix over UDP, where the source has not proven its address.
+    /// Answers per second to one prefix over UDP, unless the source has proven its address.
     #[schemars(range(min = 1.0, max = 1e9))]
     pub answers_per_second: f64,
-    /// Answers at once, after a pause.
+    /// Maximum burst of answers after a pause.
     #[schemars(range(min = 1.0, max = 1e9))]
     pub burst: f64,
-    /// Bits of an IPv4 source that make the prefix.
+    /// Length of the prefix of an IPv4 source to which the limit applies.
     #[schemars(range(min = 8, max = 32))]
     pub prefix_bits: u8,
-    /// Prefixes remembered at once.
+    /// Maximum number of prefixes tracked.
     #[schemars(range(min = 16, max = 10_000_000))]
     pub prefixes: usize,
-    /// Open TCP connections in all.
+    /// Maximum number of open TCP connections.
     #[schemars(range(min = 1, max = 100_000))]
     pub connections: usize,
-    /// Open TCP connections from one address.
+    /// Maximum number of open TCP connections from one address.
     #[schemars(range(min = 1, max = 100_000))]
     pub connections_each: usize,
-    /// s; a TCP connection that brings no whole question for so long is closed.
+    /// s; a TCP connection is closed if no complete query arrives for this long.
     #[schemars(range(min = 0.05, max = 600.0))]
     pub idle: f64,
 }
@@ -423,9 +424,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Status {
-    /// HTTP: `/metrics`, `/status`, `/changes`.
+    /// HTTP address that serves `/metrics`, `/status` and `/changes`.
     pub listen: SocketAddr,
-    /// s; an asker that neither asks nor can be read for so long counts as away.
+    /// s; an asker counts as away if it neither asks nor can be scraped for this long.
     #[schemars(range(min = 0.5, max = 3600.0))]
     pub away_after: f64,
 }
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,7 +1,9 @@
+//! Tests of settings: validation errors and their places, the schema, and conversion.
+
 use oatlever_settings::{parse, schema, SettingsError};
 use serde_json::{json, Value};
 
-fn right() -> Value {
+fn valid_settings() -> Value {
     json!({
         "zones": ["north", "south"],
         "classes": [{"name": "search", "benefit": 1, "due_time": 2}],
@@ -21,33 +23,33 @@
     })
 }
 
-/// The mistakes of settings in which the values at these pointers are others; null takes one away.
-fn mistakes(changes: &[(&str, Value)]) -> Vec<SettingsError> {
-    let mut settings = right();
-    for (at, value) in changes {
-        let (parent, key) = at.rsplit_once('/').unwrap();
+/// The errors of settings with the values at these pointers replaced, or removed if null.
+fn errors_with(changes: &[(&str, Value)]) -> Vec<SettingsError> {
+    let mut settings = valid_settings();
+    for (pointer, value) in changes {
+        let (parent, key) = pointer.rsplit_once('/').unwrap();
         let parent = settings.pointer_mut(parent).unwrap();
         match (parent, value) {
             (Value::Object(map), Value::Null) => drop(map.remove(key)),
             (Value::Object(map), value) => drop(map.insert(key.to_string(), value.clone())),
             (Value::Array(items), value) => items[key.parse::<usize>().unwrap()] = value.clone(),
-            _ => panic!("{at}"),
+            _ => panic!("{pointer}"),
         }
     }
     parse(&settings.to_string()).err().unwrap_or_default()
 }
 
 #[test]
-fn right_settings_are_read() {
-    let settings = parse(&right().to_string()).unwrap();
+fn valid_settings_are_parsed() {
+    let settings = parse(&valid_settings().to_string()).unwrap();
     assert_eq!(settings.max_cache_time(), 1.5);
     assert_eq!((settings.site().zones, settings.query_classes().len()), (2, 1));
-    let told = serde_json::to_string(&settings).unwrap();
-    assert_eq!(serde_json::to_string(&parse(&told).unwrap()).unwrap(), told);
+    let text = serde_json::to_string(&settings).unwrap();
+    assert_eq!(serde_json::to_string(&parse(&text).unwrap()).unwrap(), text);
 }
 
 #[test]
-fn each_mistake_is_told_where_it_is() {
+fn each_error_is_reported_at_its_place() {
     let cases: &[(&str, Value, &str)] = &[
         ("/costs", json!({"prices": {"north": 1}}), "a price for every zone"),
         ("/costs", json!({"prices": {"north": 1, "south": -2}}), "a price of 0 or more"),
@@ -62,7 +64,7 @@
             "/costs",
             json!({"prices": {"north": 1, "south": 2},
                    "links": [{"between": ["north", "south"]}, {"between": ["south", "north"]}]}),
-            "link 0 does not have",
+            "link 0 has the same",
         ),
         ("/costs", json!({"prices": {"north": 1, "south": 2}, "figures": {"headroom": 1.5}}), "0.9"),
         ("/rules/cold_share", json!(0), "0.001"),
@@ -84,41 +86,43 @@
         ("/status/away_after", json!(1.5), "two report periods"),
         ("/dns/trusted_resolvers", json!(["10.0.0.0"]), "10.1.0.0/16"),
     ];
-    for (at, value, expected) in cases {
-        let found = mistakes(&[(at, value.clone())]);
-        let told = found.iter().any(|m| {
-            (m.pointer.starts_with(at) || at.starts_with(&m.pointer) || m.pointer == "/askers/1/prefixes")
-                && m.to_string().contains(expected)
+    for (pointer, value, expected) in cases {
+        let found = errors_with(&[(pointer, value.clone())]);
+        let is_reported = found.iter().any(|error| {
+            (error.pointer.starts_with(pointer)
+                || pointer.starts_with(&error.pointer)
+                || error.pointer == "/askers/1/prefixes")
+                && error.to_string().contains(expected)
         });
-        assert!(told, "{at} = {value}: {found:?}");
+        assert!(is_reported, "{pointer} = {value}: {found:?}");
     }
 }
 
-/// An answer that a resolver holds is a line in a table: it must run out within the grace of a drain and
-/// within the time that somebody may be without a server. The sum is shown.
+/// Answers cached by resolvers must expire within the grace period of a drain and within the time that an asker may be
+/// without a server. Errors show the total cache time.
 #[test]
-fn lifetimes_must_fit_the_rules() {
-    let found = mistakes(&[("/dns/lifetime", json!(3)), ("/rules/drain_grace", json!(3.2))]);
+fn dns_lifetime_must_fit_the_rules() {
+    let found = errors_with(&[("/dns/lifetime", json!(3)), ("/rules/drain_grace", json!(3.2))]);
     assert_eq!(found.len(), 2, "{found:?}");
-    assert!(found.iter().all(|m| m.found == "lifetime 3 + overstay 0.5 = 3.5 s"), "{found:?}");
-    assert!(found.iter().any(|m| m.expected.contains("/rules/drain_grace, 3.2 s")), "{found:?}");
-    assert!(found.iter().any(|m| m.expected.contains("/rules/without_server, 3 s")), "{found:?}");
+    assert!(found.iter().all(|error| error.found == "lifetime 3 + overstay 0.5 = 3.5 s"), "{found:?}");
+    assert!(found.iter().any(|error| error.expected.contains("/rules/drain_grace, 3.2 s")), "{found:?}");
+    assert!(found.iter().any(|error| error.expected.contains("/rules/without_server, 3 s")), "{found:?}");
 }
 
 #[test]
-fn all_mistakes_are_told_at_once() {
-    let found = mistakes(&[
+fn all_errors_are_reported_at_once() {
+    let found = errors_with(&[
         ("/rules/drain_grace", json!(-1)),
         ("/classes/0/benefit", json!("much")),
         ("/status/listen", Value::Null),
     ]);
-    let places: Vec<&str> = found.iter().map(|m| m.pointer.as_str()).collect();
-    assert_eq!(places, ["/classes/0/benefit", "/rules/drain_grace", "/status"], "{found:?}");
+    let pointers: Vec<&str> = found.iter().map(|error| error.pointer.as_str()).collect();
+    assert_eq!(pointers, ["/classes/0/benefit", "/rules/drain_grace", "/status"], "{found:?}");
 }
 
 #[test]
-fn any_cut_of_the_text_is_refused_with_its_place() {
-    let text = right().to_string();
+fn truncated_text_is_refused_with_its_place() {
+    let text = valid_settings().to_string();
     for cut in 0..text.len() {
         let found = parse(&text[..cut]).unwrap_err();
         assert!(found[0].found.contains("line 1 column"), "{}", found[0]);
@@ -126,35 +130,35 @@
 }
 
 #[test]
-fn the_schema_takes_what_is_read() {
+fn schema_accepts_valid_settings() {
     let schema = schema();
     assert!(schema["$schema"].as_str().unwrap().contains("json-schema.org"));
-    assert!(jsonschema::validator_for(&schema).unwrap().is_valid(&right()));
+    assert!(jsonschema::validator_for(&schema).unwrap().is_valid(&valid_settings()));
 }
 
-/// Grants that could let nobody in, or leave a node that nobody may be.
+/// Grants must refer to an existing node or zone, and every node must be covered by a grant.
 #[test]
-fn grants_name_what_there_is_and_cover_every_node() {
-    let streams = |grants: Value, tls: Value| {
+fn grants_refer_to_known_nodes_and_cover_every_node() {
+    let pointers = |grants: Value, tls: Value| {
         let asker = json!({"name": "relay", "zone": "north", "node": "r1", "usual_rate": 5});
         let xds = json!({"listen": ["127.0.0.1:7400"], "patience": 1, "grants": grants, "tls": tls});
-        let told = mistakes(&[("/askers/0", asker), ("/xds", xds)]);
-        told.into_iter().map(|mistake| mistake.pointer).collect::<Vec<_>>()
+        let errors = errors_with(&[("/askers/0", asker), ("/xds", xds)]);
+        errors.into_iter().map(|error| error.pointer).collect::<Vec<_>>()
     };
     let mutual = json!({"certificate": "c", "key": "k", "authorities": "a"});
     let zone = json!({"identity": "spiffe://shops/*", "zone": "north"});
-    assert_eq!(streams(json!([zone]), mutual.clone()), Vec::<String>::new());
-    assert_eq!(streams(json!([{"identity": "x", "node": "r1"}]), mutual.clone()), Vec::<String>::new());
-    assert_eq!(streams(json!([zone]), json!({"certificate": "c", "key": "k"})), ["/xds/grants"]);
+    assert_eq!(pointers(json!([zone]), mutual.clone()), Vec::<String>::new());
+    assert_eq!(pointers(json!([{"identity": "x", "node": "r1"}]), mutual.clone()), Vec::<String>::new());
+    assert_eq!(pointers(json!([zone]), json!({"certificate": "c", "key": "k"})), ["/xds/grants"]);
     let both = json!({"identity": "x", "zone": "north", "node": "r1"});
-    assert_eq!(streams(json!([both]), mutual.clone()), ["/xds/grants/0"]);
-    assert_eq!(streams(json!([zone, {"identity": "x"}]), mutual.clone()), ["/xds/grants/1"]);
+    assert_eq!(pointers(json!([both]), mutual.clone()), ["/xds/grants/0"]);
+    assert_eq!(pointers(json!([zone, {"identity": "x"}]), mutual.clone()), ["/xds/grants/1"]);
     assert_eq!(
-        streams(json!([zone, {"identity": "x", "node": "r2"}]), mutual.clone()),
+        pointers(json!([zone, {"identity": "x", "node": "r2"}]), mutual.clone()),
         ["/xds/grants/1/node"]
     );
     let south = json!([{"identity": "x", "zone": "south"}]);
-    assert_eq!(streams(south, mutual.clone()), ["/askers/0/node"]);
-    let west = streams(json!([zone, {"identity": "x", "zone": "west"}]), mutual);
+    assert_eq!(pointers(south, mutual.clone()), ["/askers/0/node"]);
+    let west = pointers(json!([zone, {"identity": "x", "zone": "west"}]), mutual);
     assert_eq!(west, ["/xds/grants/1/zone"]);
 }
