--- a/benches/src/plans.rs
+++ b/benches/src/plans.rs
@@ -40,9 +40,9 @@
         let (mut anew, mut after, mut over, mut gap) = (Vec::new(), Vec::new(), Vec::new(), 0.0_f64);
         for _ in 0..PLANS {
             let mut model = model(&mut chance, zones, prices, classes);
-            let timed = |model: &Model, steady: Option<PreviousPlan>, times: &mut Vec<f64>| {
+            let timed = |model: &Model, previous: Option<PreviousPlan>, times: &mut Vec<f64>| {
                 let begun = Instant::now();
-                let found = plan(model, steady, PATIENCE).expect("a plan");
+                let found = plan(model, previous, PATIENCE).expect("a plan");
                 times.push(begun.elapsed().as_secs_f64() * 1e3);
                 found
             };
--- a/guard/src/lib.rs
+++ b/guard/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checks tables before they are published, whoever made them.
+//! Checks every table before it is published, whatever its origin.
 //!
 //! No I/O, no clock, no randomness. [`State`] is what is known of servers and demand, [`Loads`] the load that all
 //! tables in use may put on each server. [`Guard`] checks a proposal against both and, if it must not be published,
--- a/guard/tests/guard.rs
+++ b/guard/tests/guard.rs
@@ -400,13 +400,13 @@
             let published = replacement.clone().unwrap_or_else(|| normalize(&proposed));
             let is_available = |server: &Address| state.is_available(&state.servers[server], &guard.config);
             if published.is_empty() {
-                let was = history
+                let was_filled = history
                     .0
                     .iter()
                     .rev()
                     .find(|(_, t, _)| *t == table)
                     .is_some_and(|(_, _, l)| !l.is_empty());
-                assert!(!was || !state.servers.keys().any(is_available), "{verdict}: no server left");
+                assert!(!was_filled || !state.servers.keys().any(is_available), "{verdict}: no server left");
             }
             let typical_rate = state.typical_rate();
             let load = |server: &Address, share: f64| {
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -116,10 +116,10 @@
         let index = usize::from(class);
         let parent = &mut *self.parent;
         let tries = parent.guard.retry_mode(table, class, classes[index].once, tries, parent.state.now);
-        let Some(relief) = parent.guard.admission_limit(table) else { return (level, tries) };
+        let Some(limit) = parent.guard.admission_limit(table) else { return (level, tries) };
         let benefit: Vec<f64> = classes.iter().map(|class| class.benefit).collect();
         let demand = parent.evidence.rates_by_class(parent.holders.askers_of(table), classes.len());
-        (level.min(relief.levels(&benefit, &demand)[index]), tries)
+        (level.min(limit.levels(&benefit, &demand)[index]), tries)
     }
 }
 
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -155,14 +155,14 @@
     }
     if let Some(planning) = &core.planning {
         add_counters(r, ("plans", "Plans made, by outcome", "outcome"), &planning.outcomes);
-        if let Some((_, Ok(decided))) = &planning.last {
-            add_gauge(r, "plan_cost", "Cost per second of the last plan", decided.plan.cost);
-            add_gauge(r, "plan_bound", "Lower bound on the cost per second of any plan", decided.plan.bound);
+        if let Some((_, Ok(decision))) = &planning.last {
+            add_gauge(r, "plan_cost", "Cost per second of the last plan", decision.plan.cost);
+            add_gauge(r, "plan_bound", "Lower bound on the cost per second of any plan", decision.plan.bound);
             add_gauge(
                 r,
                 "plan_carries",
                 "Queries per second that a unit of weight carries",
-                decided.routing.carries,
+                decision.routing.carries,
             );
         }
     }
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -65,8 +65,8 @@
         let (name, previous) = (outcome(&plan), self.last.as_ref().map(|(_, last)| outcome(last)));
         if previous != Some(name) {
             match &plan {
-                Ok(decided) => {
-                    tracing::info!(cost = decided.plan.cost, bound = decided.plan.bound, "plan made")
+                Ok(decision) => {
+                    tracing::info!(cost = decision.plan.cost, bound = decision.plan.bound, "plan made")
                 }
                 Err(NoPlan::Over(over)) => {
                     let missing: f64 = over.faults.iter().map(|fault| fault.missing).sum();
@@ -76,7 +76,7 @@
             }
         }
         *self.outcomes.entry(name).or_default() += 1;
-        let orders = plan.as_ref().map_or_else(|_| Plan::default(), |decided| decided.routing.clone());
+        let orders = plan.as_ref().map_or_else(|_| Plan::default(), |decision| decision.routing.clone());
         self.last = Some((now, plan));
         Some(orders)
     }
@@ -87,16 +87,16 @@
         let mut value =
             json!({"outcome": outcome(plan), "ago": now - at, "carries": self.planner.capacity.estimate()});
         match plan {
-            Ok(decided) => {
+            Ok(decision) => {
                 let row = |parts: &Vec<f64>| -> serde_json::Map<String, Value> {
                     settings.zones.iter().cloned().zip(parts.iter().map(|part| json!(part))).collect()
                 };
-                let parts = settings.zones.iter().cloned().zip(decided.routing.parts.iter().map(row));
+                let parts = settings.zones.iter().cloned().zip(decision.routing.parts.iter().map(row));
                 value["parts"] = parts.map(|(zone, row)| (zone, Value::Object(row))).collect();
-                let plan = &decided.plan;
+                let plan = &decision.plan;
                 (value["cost"], value["bound"], value["gap"]) =
                     (json!(plan.cost), json!(plan.bound), json!(plan.gap()));
-                (value["pool_prices"], value["model"]) = (json!(plan.pool_prices), json!(decided.model));
+                (value["pool_prices"], value["model"]) = (json!(plan.pool_prices), json!(decision.model));
             }
             Err(NoPlan::Over(over)) => {
                 (value["faults"], value["refused"]) = (json!(over.faults), json!(over.refused));
