--- a/benches/src/front.rs
+++ b/benches/src/front.rs
@@ -7,7 +7,7 @@
 use oatlever::round::Address;
 use oatlever_askers::PrefixTrie;
 use oatlever_dns::{serve_udp, Backend, Front, Handler, Transport};
-use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
+use oatlever_leases::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
 use oatlever_tables::View;
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
 
 struct Answers {
     fleet: Fleet,
-    handout: AddressSelector,
+    selector: AddressSelector,
     rng: fastrand::Rng,
 }
 
@@ -47,7 +47,7 @@
         let rng = &mut self.rng;
         let host = Ipv4Addr::from(0x0a00_0000 + rng.u32(..ASKERS));
         let zone = |server: &Address| Some(u16::from(server.host[3]) % 3);
-        self.handout.answer(&view, Client { host, class, group_rate: 100.0 }, most, zone, now, || rng.f64())
+        self.selector.answer(&view, Client { host, class, group_rate: 100.0 }, most, zone, now, || rng.f64())
     }
     fn is_listed(&self, _: Ipv4Addr) -> bool {
         true
@@ -159,18 +159,18 @@
 }
 
 impl Selection {
-    fn handout(self) -> AddressSelector {
+    fn selector(self) -> AddressSelector {
         let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
-        let mut handout = AddressSelector::new(lives, 65_536, (1, 2), 0.0);
+        let mut selector = AddressSelector::new(lives, 65_536, (1, 2), 0.0);
         match self {
             Selection::ByWeight => return AddressSelector::without_ledger(lives),
             Selection::Ledger => {}
             Selection::Cold(count) => {
-                handout.set_cold_budgets((0..count).map(|n| (server(n), 20.0)).collect(), 0.0)
+                selector.set_cold_budgets((0..count).map(|n| (server(n), 20.0)).collect(), 0.0)
             }
         }
-        (0..ASKERS).for_each(|n| handout.rates.add(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
-        handout
+        (0..ASKERS).for_each(|n| selector.rates.add(Ipv4Addr::from(0x0a00_0000 + n), 0, 5.0, 1000.0));
+        selector
     }
 }
 
@@ -196,7 +196,7 @@
             front: RefCell::new(Front::new(&settings, Rc::new(prefixes), 1).expect("a front")),
             answers: RefCell::new(Answers {
                 fleet: Fleet::new(servers, 12),
-                handout: selection.handout(),
+                selector: selection.selector(),
                 rng: fastrand::Rng::with_seed(2),
             }),
             start: Instant::now(),
--- a/benches/src/ledgers.rs
+++ b/benches/src/ledgers.rs
@@ -1,9 +1,9 @@
-//! Time and memory of the ledger of handed-out addresses, compared with maps that store every handout, by the number of
+//! Time and memory of the ledger of handed-out addresses, compared with maps that store every lease, by the number of
 //! askers.
 
 use crate::fleet::{memory, server};
 use oatlever::round::Address;
-use oatlever_handout::{AddressSelector, Client, HeavyHitters, Ledger, Lifetimes};
+use oatlever_leases::{AddressSelector, Client, HeavyHitters, Ledger, Lifetimes};
 use oatlever_tables::{View, WeightedIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
@@ -19,17 +19,17 @@
 const HOLD_TIME: f64 = 1.5;
 const CALLS: u32 = 400_000;
 
-/// A ledger that stores every handout.
+/// A ledger that stores every lease.
 #[derive(Default)]
 struct MapLedger {
     /// Expiry and weight by asker and server.
     askers: HashMap<Ipv4Addr, HashMap<Address, (f64, f64)>>,
-    /// Total weight and handouts in order of expiry, by server.
+    /// Total weight and leases in order of expiry, by server.
     servers: BTreeMap<Address, (f64, BTreeSet<(u64, Ipv4Addr)>)>,
 }
 
 impl MapLedger {
-    /// Stores the handout of some servers to an asker until a given time.
+    /// Stores leases of some servers to an asker until a given time.
     fn add(
         &mut self,
         host: Ipv4Addr,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the weight of unexpired handouts of a server.
+    /// Returns the weight of unexpired leases of a server.
     fn outstanding(&mut self, server: &Address, now: f64) -> f64 {
         let Some((sum, expiries)) = self.servers.get_mut(server) else { return 0.0 };
         while let Some((until, host)) =
@@ -126,16 +126,16 @@
         let index = WeightedIndex::new((0..servers).map(|n| (server(n), 1.0 + f64::from(n % 5))));
         let view = View { table: 0, version: 1, index: &index, level: 1.0, retry_mode: 0 };
         let lives = Lifetimes { normal: 1, near_cold: 1, overstay: 0.5 };
-        let time = |mut handout: AddressSelector, cold: u16| {
-            handout.set_cold_budgets((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
+        let time = |mut selector: AddressSelector, cold: u16| {
+            selector.set_cold_budgets((0..cold).map(|n| (server(n * 10), 20.0)).collect(), 0.0);
             let mut rng = fastrand::Rng::with_seed(1);
             let host = |n: u32| Ipv4Addr::from(0x0a00_0000 + n % 20_000);
-            (0..20_000).for_each(|n| handout.rates.add(host(n), 0, 5.0, 100.0));
-            time_and_memory(handout, |handout, n| {
+            (0..20_000).for_each(|n| selector.rates.add(host(n), 0, 5.0, 100.0));
+            time_and_memory(selector, |selector, n| {
                 let who = Client { host: host(n * 7919), class: 0, group_rate: 100.0 };
                 let zone = |server: &Address| Some(u16::from(server.host[3] % 3));
                 let now = 100.0 + f64::from(n) / 20_000.0;
-                black_box(handout.answer(&view, who, 4, zone, now, || rng.f64()));
+                black_box(selector.answer(&view, who, 4, zone, now, || rng.f64()));
             })
             .0
         };
--- a/dns/src/front.rs
+++ b/dns/src/front.rs
@@ -8,7 +8,7 @@
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 use hickory_proto::ProtoError;
 use oatlever_askers::{CookieStatus, Cookies, PrefixTrie, RateDecision, RateLimiter};
-use oatlever_handout::Answer;
+use oatlever_leases::Answer;
 use oatlever_settings::{checks, Settings};
 use oatlever_tables::{View, WeightedIndex};
 use std::collections::HashMap;
--- a/dns/tests/front.rs
+++ b/dns/tests/front.rs
@@ -7,7 +7,7 @@
 use oatlever::round::{Address, Writer};
 use oatlever_askers::PrefixTrie;
 use oatlever_dns::{Backend, Front, Transport};
-use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
+use oatlever_leases::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_settings::Settings;
 use oatlever_tables::{AskerKind, DeliveryTracker, RoundInputs, Tables, View};
 use quickcheck::{quickcheck, Gen};
--- a/handout/tests/handout.rs
+++ b/leases/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Checks the ledger against an exact model, and that answers stay within the budgets of cold servers.
 
 use oatlever::round::Address;
-use oatlever_handout::{AddressSelector, Answer, Client, ExpiryWheel, HeavyHitters, Ledger, Lifetimes};
+use oatlever_leases::{AddressSelector, Answer, Client, ExpiryWheel, HeavyHitters, Ledger, Lifetimes};
 use oatlever_tables::{View, WeightedIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
--- a/pilot/src/core.rs
+++ b/pilot/src/core.rs
@@ -10,7 +10,7 @@
 use oatlever::round::{Address, HealthCheckResult, List, ListKind, Round, Stream};
 use oatlever_askers::{PrefixTrie, Presence};
 use oatlever_dns::Backend;
-use oatlever_handout::Answer;
+use oatlever_leases::Answer;
 use oatlever_reports::{Aggregator, AskerInfo, Counters, Exposition, Target};
 use oatlever_roster::{BootTime, Document, ServerList, Update};
 use oatlever_settings::{checks, Settings};
--- a/pilot/src/dns_answers.rs
+++ b/pilot/src/dns_answers.rs
@@ -2,7 +2,7 @@
 //! budgets of cold servers, and reports its state.
 
 use oatlever::round::{Address, Round};
-use oatlever_handout::{AddressSelector, Answer, Client, Lifetimes};
+use oatlever_leases::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_reports::Aggregator;
 use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
@@ -13,7 +13,7 @@
 
 /// State behind the answers of the DNS front.
 pub struct DnsAnswers {
-    pub handout: AddressSelector,
+    pub selector: AddressSelector,
     rng: fastrand::Rng,
     /// Queries per second by asker and class, as last reported.
     rates: BTreeMap<(u16, u8), f64>,
@@ -26,11 +26,11 @@
         let dns = &settings.dns;
         let near_cold = dns.ledger.as_ref().and_then(|ledger| ledger.lifetime_short).unwrap_or(dns.lifetime);
         let lives = Lifetimes { normal: dns.lifetime, near_cold, overstay: dns.overstay };
-        let handout = match &dns.ledger {
+        let selector = match &dns.ledger {
             None => AddressSelector::without_ledger(lives),
             Some(ledger) => AddressSelector::new(lives, ledger.askers, (rng.u64(..), rng.u64(..)), start),
         };
-        DnsAnswers { handout, rng, rates: BTreeMap::new(), has_ledger: dns.ledger.is_some() }
+        DnsAnswers { selector, rng, rates: BTreeMap::new(), has_ledger: dns.ledger.is_some() }
     }
 
     /// Takes in a round's reports of the queries that each client brought.
@@ -39,7 +39,7 @@
         for ((server, host, class), (queries, span)) in clients.into_iter().filter(|_| self.has_ledger) {
             // A scrape may have waited for this round for up to one period.
             let since = round.now - span - settings.reports.period;
-            self.handout.record_queries(server, host, u16::from(class), (queries, span), since, round.now);
+            self.selector.record_queries(server, host, u16::from(class), (queries, span), since, round.now);
         }
         for report in round.queries.iter().filter(|report| report.span > 0.0) {
             self.rates.insert((report.proxy, report.class), report.received / report.span);
@@ -83,7 +83,7 @@
                 }
             }
         }
-        self.handout.set_cold_budgets(cold, now);
+        self.selector.set_cold_budgets(cold, now);
     }
 
     /// The answer for a host of an asker, or `None` if the asker holds no table.
@@ -101,7 +101,7 @@
         let zone = |server: &Address| book.get(server).map(|member| member.zone);
         let rng = &mut self.rng;
         let empty = || Answer { servers: Vec::new(), lifetime: settings.dns.lifetime };
-        Some(self.handout.answer(&view, who, most, zone, now, || rng.f64()).unwrap_or_else(empty))
+        Some(self.selector.answer(&view, who, most, zone, now, || rng.f64()).unwrap_or_else(empty))
     }
 
     /// The load that unexpired answers may still bring a server, from the ledger, as JSON.
@@ -109,9 +109,9 @@
         if !self.has_ledger {
             return Err("the settings have no /dns/ledger".to_string());
         }
-        let ledger = &mut self.handout.ledger;
+        let ledger = &mut self.selector.ledger;
         let until = ledger.last_expiry(server, now).map(|until| until - now);
         Ok(json!({"server": server.to_string(), "queries_a_second": ledger.outstanding(server, now),
-                  "let_go_in": until, "budget": self.handout.budget(server)}))
+                  "let_go_in": until, "budget": self.selector.budget(server)}))
     }
 }
--- a/pilot/src/metrics.rs
+++ b/pilot/src/metrics.rs
@@ -119,48 +119,48 @@
         add_counters(r, ("guard_verdicts", "Verdicts of the guard, by outcome", "outcome"), &guard.outcomes);
     }
     if core.settings.dns.ledger.is_some() {
-        let handout = &core.dns_answers.handout;
+        let selector = &core.dns_answers.selector;
         add_gauge(
             r,
             "ledger_servers",
             "Servers that unexpired answers may still bring queries",
-            handout.ledger.server_count() as f64,
+            selector.ledger.server_count() as f64,
         );
         add_gauge(
             r,
             "ledger_askers",
             "Pairs of asker and class in the ledger",
-            handout.ledger.entry_count() as f64,
+            selector.ledger.entry_count() as f64,
         );
         add_counter(
             r,
             "ledger_forgotten",
             "Askers evicted while their answers were unexpired",
-            handout.ledger.evicted,
+            selector.ledger.evicted,
         );
         add_counter(
             r,
             "ledger_overstays",
             "Times an asker used a server after its answer had expired",
-            handout.ledger.overstays,
+            selector.ledger.overstays,
         );
         add_gauge(
             r,
             "ledger_latest_seconds",
             "Longest use of a server after its answer had expired",
-            handout.ledger.max_overstay,
+            selector.ledger.max_overstay,
         );
         add_counter(
             r,
             "ledger_passed_over",
             "Times a cold server over its budget was skipped",
-            handout.counters.cold_skipped,
+            selector.counters.cold_skipped,
         );
         add_counter(
             r,
             "ledger_nothing_better",
             "Answers with only cold servers over their budget",
-            handout.counters.cold_only,
+            selector.counters.cold_only,
         );
     }
     if let Some(planning) = &core.planning {
