--- a/roster/tests/roster.rs
+++ b/discovery/tests/discovery.rs
@@ -1,5 +1,5 @@
 use oatlever::round::{Address, ListKind, Readiness};
-use oatlever_roster::{BootTime, Completeness, Document, ServerList, Update};
+use oatlever_discovery::{BootTime, Completeness, Document, ServerList, Update};
 
 fn zones() -> Vec<String> {
     vec!["north".into(), "south".into()]
--- a/roster/tests/platform.rs
+++ b/discovery/tests/platform.rs
@@ -1,7 +1,7 @@
 //! Documents of the platform's list, and the registry of its servers.
 
 use oatlever::round::{ListKind, Readiness};
-use oatlever_roster::platform::{Origin, PlatformDocument, ServerRegistry};
+use oatlever_discovery::platform::{Origin, PlatformDocument, ServerRegistry};
 use serde_json::{json, Value};
 
 fn server(id: &str, state: &str) -> Value {
--- a/pilot/src/dns_answers.rs
+++ b/pilot/src/dns_answers.rs
@@ -2,9 +2,9 @@
 //! budgets of cold servers, and reports its state.
 
 use oatlever::round::{Address, Round};
+use oatlever_discovery::ServerList;
 use oatlever_leases::{AddressSelector, Answer, Client, Lifetimes};
 use oatlever_reports::Aggregator;
-use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use oatlever_tables::Tables;
 use serde_json::{json, Value};
--- a/pilot/src/guard_review.rs
+++ b/pilot/src/guard_review.rs
@@ -2,10 +2,10 @@
 //! logs and reports its verdicts.
 
 use oatlever::round::{Address, Readiness, Round};
+use oatlever_discovery::ServerList;
 use oatlever_guard::{
     Evidence, Finding, Guard, Holders, ListStatus, ListedServer, Mode, Outcome, State, Verdict, Weights,
 };
-use oatlever_roster::ServerList;
 use oatlever_settings::Settings;
 use oatlever_tables::{Review, Tables};
 use serde_json::{json, Value};
--- a/pilot/src/planning.rs
+++ b/pilot/src/planning.rs
@@ -2,7 +2,7 @@
 
 use oatlever::round::{Plan, Readiness, Round};
 use oatlever_cost::{Decision, NoPlan, Planner, ZoneServers};
-use oatlever_roster::ServerList;
+use oatlever_discovery::ServerList;
 use oatlever_settings::Settings;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/pilot/src/platform/configuration.rs
+++ b/pilot/src/platform/configuration.rs
@@ -1,8 +1,8 @@
 //! The configuration file of a pilot on the platform, read at the start and on SIGHUP.
 
 use super::MIN_SOCKETS;
+use oatlever_discovery::platform::PlatformDocument;
 use oatlever_instance::{InstanceSettings, Malformed, Node, PlatformSettings};
-use oatlever_roster::platform::PlatformDocument;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/pilot/src/platform/controller.rs
+++ b/pilot/src/platform/controller.rs
@@ -4,10 +4,10 @@
 use crate::timers::Timers;
 use oatlever::balance::Balancer;
 use oatlever::round::{Address, Beliefs, HealthCheckResult, List, ListKind, Round, Stream, Tries};
+use oatlever_discovery::platform::{Origin, PlatformDocument, ServerRegistry};
 use oatlever_instance::InstanceSettings;
 use oatlever_platform::message::{self, Join, Message, MessageError, HEARTBEAT_ANSWER};
 use oatlever_platform::{silence_timeout, Connection, JoinOutcome, Names, Publisher, Role, Sessions};
-use oatlever_roster::platform::{Origin, PlatformDocument, ServerRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/pilot/src/platform/lists.rs
+++ b/pilot/src/platform/lists.rs
@@ -2,8 +2,8 @@
 
 use super::Pilot;
 use futures_lite::future;
+use oatlever_discovery::platform::{Origin, PlatformDocument, Watch, WatchError};
 use oatlever_reactor::Timer;
-use oatlever_roster::platform::{Origin, PlatformDocument, Watch, WatchError};
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/pilot/src/serve.rs
+++ b/pilot/src/serve.rs
@@ -9,11 +9,11 @@
 use event_listener::Event;
 use futures_lite::{future, StreamExt};
 use oatlever::round::Address;
+use oatlever_discovery::{BootTime, Cache, Source};
 use oatlever_dns::{Front, Handler, TcpConnections, TcpLimits, Transport};
 use oatlever_fetch as fetch;
 use oatlever_identity::{Grant, Grants, Node, Peer, Scope, TlsFiles, TlsKeys};
 use oatlever_reports::{Exposition, Target};
-use oatlever_roster::{BootTime, Cache, Source};
 use oatlever_settings::{Settings, Tls, Xds};
 use oatlever_tables::View;
 use oatlever_xds::orca::{self, ReportHandler};
@@ -420,7 +420,7 @@
         tasks.push(executor.spawn(orca_reports));
         let times = (roster.period, roster.patience);
         let zones = settings.zones.clone();
-        tasks.push(executor.spawn(oatlever_roster::poll(source, zones, times, roster.most_bytes, sink)));
+        tasks.push(executor.spawn(oatlever_discovery::poll(source, zones, times, roster.most_bytes, sink)));
         let reports = settings.reports.clone();
         let handler = ScrapeHandler(pilot.clone());
         tasks.push(executor.spawn(async move {
--- a/pilot/tests/program.rs
+++ b/pilot/tests/program.rs
@@ -284,7 +284,7 @@
 
 /// Without a list of servers, queries fail at once with SERVFAIL. A cached list serves until a new one is read.
 #[test]
-fn a_start_without_the_roster_uses_the_cached_list() {
+fn a_start_without_discovery_uses_the_cached_list() {
     let folder = Folder::new("kept");
     let settings = folder.write("settings.json", &folder.settings().to_string());
     let pilot = Pilot::start(&settings);
--- a/standins/src/day.rs
+++ b/standins/src/day.rs
@@ -195,7 +195,7 @@
         }
     }
     world.servers.borrow().iter().for_each(|server| server.start(&world, false));
-    let mut tasks = vec![world.executor.spawn(world.clone().serve_roster())];
+    let mut tasks = vec![world.executor.spawn(world.clone().serve_discovery())];
     pilot.borrow_mut().start(script.seed)?;
     world.recorder.record(Event::PilotStarted);
     wait_for_answers(&world).await?;
@@ -383,7 +383,7 @@
                 faults.unlisted = if active { hosts } else { Vec::new() };
             }
             FaultKind::ListEmpty => faults.list_empty = active,
-            FaultKind::RosterDown => faults.roster_down = active,
+            FaultKind::RosterDown => faults.discovery_down = active,
             FaultKind::ListCut => faults.list_cut = active,
             FaultKind::RelaysDie if active => relays.iter().for_each(|relay| relay.stop()),
             FaultKind::RelaysDie => relays.iter().for_each(|relay| relay.start(world)),
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,5 @@
-//! `oatlever-standins` runs a real pilot on loopback with stand-ins for its servers, relays, terminals and roster.
+//! `oatlever-standins` runs a real pilot on loopback with stand-ins for its servers, relays, terminals and service
+//! discovery.
 
 mod askers;
 mod cost;
--- a/standins/src/many.rs
+++ b/standins/src/many.rs
@@ -43,7 +43,7 @@
     (0..count).map(fault).collect()
 }
 
-/// Draws restarts of the pilot. Some coincide with another fault: server restarts, drains, roster failures or relay
+/// Draws restarts of the pilot. Some coincide with another fault: server restarts, drains, discovery failures or relay
 /// restarts.
 pub fn draw_restarts(rng: &mut fastrand::Rng, zones: u8, seconds: f64) -> Vec<Fault> {
     let mut faults = Vec::new();
--- a/standins/src/script.rs
+++ b/standins/src/script.rs
@@ -40,7 +40,7 @@
     pub fall_multiple: f64,
     /// Window over which the load of a cold server is measured.
     pub fall_within: f64,
-    /// Delay with which the roster reflects a change.
+    /// Delay with which service discovery reflects a change.
     pub list_late: f64,
     /// Rule 3 does not apply to servers that are unlisted without a drain.
     pub gone_does_not_bind: bool,
@@ -173,13 +173,13 @@
     QuickErrors,
     /// Servers process queries, but half of the answers are lost.
     AnswersLost,
-    /// Servers are missing from the roster's list.
+    /// Servers are missing from the list of service discovery.
     ListLies,
-    /// The roster's list is empty.
+    /// The list of service discovery is empty.
     ListEmpty,
-    /// The roster responds with status 500.
+    /// Service discovery responds with status 500.
     RosterDown,
-    /// The roster's list is truncated in the middle.
+    /// The list of service discovery is truncated in the middle.
     ListCut,
     /// Relays stop and start again at the end.
     RelaysDie,
@@ -257,7 +257,7 @@
     pub fn xds(self) -> SocketAddr {
         ([127, 10 * self.number, 0, 1], 7400).into()
     }
-    pub fn roster(self) -> SocketAddr {
+    pub fn discovery(self) -> SocketAddr {
         ([127, 10 * self.number, 0, 2], 7100).into()
     }
 
@@ -305,7 +305,7 @@
                 "cold_share": script.cold_share, "warm_within": script.warm_within,
                 "fall_multiple": script.fall_multiple, "gone_does_not_bind": script.gone_does_not_bind},
             "channel": {"lines_per_second": script.most_waiting, "most_waiting": script.most_waiting},
-            "roster": {"source": format!("http://{}/targets", self.roster()), "period": 0.5, "patience": 0.4,
+            "roster": {"source": format!("http://{}/targets", self.discovery()), "period": 0.5, "patience": 0.4,
                 "cache": cache},
             "reports": {"period": 1.0, "patience": 0.8},
             "checks": {"path": "/health", "patience": 0.5},
--- a/standins/src/servers.rs
+++ b/standins/src/servers.rs
@@ -33,7 +33,7 @@
     pub host: Ipv4Addr,
     pub zone: u8,
     pub started: Cell<f64>,
-    /// Unix time of a cold start, as the roster lists it; 0 after a warm start.
+    /// Unix time of a cold start, as service discovery lists it; 0 after a warm start.
     pub started_unix: Cell<f64>,
     /// Number of starts so far.
     pub starts: Cell<u32>,
--- a/standins/src/world.rs
+++ b/standins/src/world.rs
@@ -1,4 +1,4 @@
-//! State that all stand-ins of a run share, and the roster.
+//! State that all stand-ins of a run share, and service discovery.
 
 use crate::askers::Asker;
 use crate::record::{Event, Recorder, State};
@@ -23,7 +23,7 @@
     pub dns_lost: f64,
     /// Delay of DNS queries in seconds.
     pub dns_late: f64,
-    pub roster_down: bool,
+    pub discovery_down: bool,
     pub list_cut: bool,
     pub list_empty: bool,
     /// Running servers that are missing from the list.
@@ -32,7 +32,7 @@
     pub surge: f64,
 }
 
-/// A server in the roster: address, zone, state, Unix time of its start, and number of its starts.
+/// A server in service discovery: address, zone, state, Unix time of its start, and number of its starts.
 pub type ListedServer = (Ipv4Addr, u8, State, f64, u32);
 
 pub struct World {
@@ -48,7 +48,7 @@
     /// Number of queries so far.
     pub queries: Cell<u64>,
     rng: RefCell<fastrand::Rng>,
-    /// Recent states of the servers by time, from which the roster takes a delayed one.
+    /// Recent states of the servers by time, from which service discovery takes a delayed one.
     history: RefCell<VecDeque<(f64, Vec<ListedServer>)>>,
 }
 
@@ -83,8 +83,8 @@
         self.rng.borrow_mut().f64()
     }
 
-    /// Returns the roster's current list: the servers' delayed states, changed by active faults.
-    pub fn roster_list(&self) -> Vec<ListedServer> {
+    /// Returns the current list of service discovery: the servers' delayed states, changed by active faults.
+    pub fn listed_servers(&self) -> Vec<ListedServer> {
         let now = self.now();
         let servers = self.servers.borrow();
         let running = servers.iter().filter(|server| server.running.get()).map(|server| {
@@ -107,21 +107,21 @@
     pub fn baseline_lines(&self) -> Option<Vec<(Ipv4Addr, u16)>> {
         let baseline = self.baseline?;
         let price = |zone: u8| self.script.costs.as_ref().map_or(0.0, |costs| costs.zones[usize::from(zone)]);
-        let listed = self.roster_list();
+        let listed = self.listed_servers();
         let lowest = listed.iter().map(|(_, zone, ..)| price(*zone)).fold(f64::INFINITY, f64::min);
         let chosen =
             listed.into_iter().filter(|(_, zone, ..)| baseline == Baseline::Even || price(*zone) <= lowest);
         Some(chosen.map(|(host, ..)| (host, 1)).collect())
     }
 
-    /// Serves the roster in the format of Prometheus HTTP service discovery.
-    pub async fn serve_roster(self: Rc<Self>) {
-        let host = self.realm.roster();
+    /// Serves the list in the format of Prometheus HTTP service discovery.
+    pub async fn serve_discovery(self: Rc<Self>) {
+        let host = self.realm.discovery();
         let world = self.clone();
         // The history is extended at regular intervals, also when nobody requests the list.
         let update_history = async {
             loop {
-                world.roster_list();
+                world.listed_servers();
                 Timer::after(Duration::from_millis(100)).await;
             }
         };
@@ -129,9 +129,9 @@
         let serve = web::serve(host, self.executor.clone(), move |_, _| {
             let world = world.clone();
             async move {
-                let listed = world.roster_list();
+                let listed = world.listed_servers();
                 let faults = world.faults.borrow().clone();
-                if faults.roster_down {
+                if faults.discovery_down {
                     return (500, String::new());
                 }
                 let group = |(host, zone, state, started, _): &ListedServer| {
--- a/standins/tests/days.rs
+++ b/standins/tests/days.rs
@@ -54,7 +54,7 @@
 }
 
 /// The pilot is killed twice. Relays continue with their latest answers, and the pilot restarts from its cached list
-/// while the roster is down.
+/// while service discovery is down.
 #[test]
 fn a_killed_pilot_restarts_from_its_cached_list() {
     let faults = json!([{"at": 3, "for": 3, "kind": "pilot_dies"}, {"at": 9, "for": 1, "kind": "pilot_dies"},
