--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -21,12 +21,15 @@
     Err(Malformed(message.into()))
 }
 
-/// Upper bound of numbers and of times in ms that have no bound of their own. Anything larger is a mistake,
-/// and no timer can wait for years.
+/// Upper bound of numbers and of times in ms that have no bound of their own. As a time, this is 11.6 days;
+/// anything larger is a mistake.
 const MAX_NUMBER: f64 = 1e9;
+/// Lower bound of numbers that must be above 0. Error messages state it as "above 0".
+const ABOVE_ZERO: f64 = f64::MIN_POSITIVE;
 /// Upper bound of the tick, in ms. A pilot that ran rounds less often could not serve anyone.
 const MAX_TICK_MS: f64 = 60_000.0;
-/// Upper bound of the numbers of proxies, slices and pilots: they are identified by 16-bit integers.
+/// Upper bound of the numbers of proxies, slices, pilots and (exclusive) zones: they are identified by 16-bit
+/// integers.
 const MAX_COUNT: f64 = 65536.0;
 /// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
@@ -75,14 +78,17 @@
         malformed(format!("`{}` is {quoted}{ellipsis}, not {expected}", self.path))
     }
 
+    /// Reads a number from `min` to `max`, both inclusive. A `min` of `f64::MIN_POSITIVE` stands for "above 0".
     pub fn number(&self, min: f64, max: f64) -> Result<f64, Malformed> {
         match self.value.as_f64() {
             Some(x) if x >= min && x <= max => Ok(x),
-            _ if min == f64::MIN_POSITIVE => self.invalid(&format!("a number above 0, to {max}")),
+            _ if min == ABOVE_ZERO => self.invalid(&format!("a number above 0, to {max}")),
             _ => self.invalid(&format!("a number from {min} to {max}")),
         }
     }
 
+    /// Reads a number without a fraction from `min` to `max`, both inclusive. It is returned as `f64`, the type in
+    /// which the decision logic calculates.
     pub fn integer(&self, min: f64, max: f64) -> Result<f64, Malformed> {
         match self.number(min, max) {
             Ok(x) if x.fract() == 0.0 => Ok(x),
@@ -90,12 +96,14 @@
         }
     }
 
+    /// Reads a number of at least 0.
     fn non_negative(&self, key: &str) -> Result<f64, Malformed> {
         self.required(key)?.number(0.0, MAX_NUMBER)
     }
 
+    /// Reads a number above 0.
     fn positive(&self, key: &str) -> Result<f64, Malformed> {
-        self.required(key)?.number(f64::MIN_POSITIVE, MAX_NUMBER)
+        self.required(key)?.number(ABOVE_ZERO, MAX_NUMBER)
     }
 
     /// Reads a time in ms and returns seconds.
@@ -170,9 +178,14 @@
 /// Settings of the decision logic.
 #[derive(Clone, Debug)]
 pub struct InstanceSettings {
+    /// The deployment: numbers of zones, pilots and proxies, and what the proxies support.
     pub site: Site,
+    /// Benefit and due time of each class of queries, indexed by class number.
     pub classes: Vec<QueryClass>,
+    /// Limits of the channel to the proxies, in lines. A line is an entry of a table: a server with its weight.
+    /// The header of a message and a mark are counted as lines too.
     pub channel: Channel,
+    /// Parameters of the rules that every order must keep.
     pub rules: Rules,
 }
 
--- a/leases/src/choice.rs
+++ b/leases/src/choice.rs
@@ -1,6 +1,6 @@
 //! Selects the addresses of an answer.
 
-use crate::hosts::HeavyHitters;
+use crate::heavy_hitters::HeavyHitters;
 use crate::ledger::Ledger;
 use oatlever::round::Address;
 use oatlever_tables::{GoldenSequence, Line, View, WeightedIndex};
@@ -11,8 +11,9 @@
 /// mean, few are far above it.
 const UNKNOWN_RATE_FACTOR: f64 = 2.0;
 
-/// Random samples that may hit an unsuitable line before all lines are searched.
-const SAMPLE_TRIES: usize = 8;
+/// Maximum number of random samples taken to replace a server. If all are unsuitable, the replacement is
+/// sampled from the suitable lines of the whole table.
+const MAX_SAMPLES: usize = 8;
 
 /// A client host and the class it queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,10 +27,11 @@
 /// Lifetimes of answers, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lifetimes {
+    /// For tables without a cold server.
     pub normal: u32,
     /// For tables that contain a cold server.
     pub near_cold: u32,
-    /// How long clients may use an answer past its lifetime.
+    /// Time after the end of an answer's lifetime during which clients are assumed to go on using it.
     pub overstay: f64,
 }
 
@@ -60,9 +62,9 @@
     /// By table: a version, and whether that version contains a cold server. Cleared when the budgets change.
     contains_cold: HashMap<u16, (u64, bool)>,
     lifetimes: Lifetimes,
-    /// Seconds; until then answers of a previous instance may be in use.
-    unknown_until: f64,
-    /// Whether leases are tracked and budgets observed.
+    /// Time in seconds until which clients may use answers of a previous instance. The ledger lacks these.
+    previous_answers_expire_at: f64,
+    /// Whether answers are recorded in the ledger and the budgets of cold servers limit the selection.
     uses_ledger: bool,
     pub counters: Counters,
 }
@@ -73,7 +75,7 @@
     /// selected until then.
     pub fn new(lifetimes: Lifetimes, max_clients: usize, key: (u64, u64), start: f64) -> Self {
         let (sequences, budgets, contains_cold, counters) = Default::default();
-        let unknown_until = start + f64::from(lifetimes.normal) + lifetimes.overstay;
+        let previous_answers_expire_at = start + f64::from(lifetimes.normal) + lifetimes.overstay;
         let (ledger, rates) = (Ledger::new(max_clients, key), HeavyHitters::new(max_clients));
         AddressSelector {
             ledger,
@@ -82,7 +84,7 @@
             budgets,
             contains_cold,
             lifetimes,
-            unknown_until,
+            previous_answers_expire_at,
             uses_ledger: true,
             counters,
         }
@@ -93,8 +95,9 @@
         AddressSelector { uses_ledger: false, ..AddressSelector::new(lifetimes, 1, (0, 0), 0.0) }
     }
 
-    /// Records that a client sent a server `queries` of a class within `span` seconds, all since the time
-    /// `since`. It may be using an expired answer.
+    /// Records that a client sent a server `queries` of a class within `span` seconds. None of them was sent
+    /// before the time `since`: if the client's lease expired earlier, it is using an expired answer, and the
+    /// ledger extends the lease.
     pub fn record_queries(
         &mut self,
         server: Address,
@@ -125,7 +128,8 @@
         self.budgets.get(server).copied()
     }
 
-    /// Upper estimate of a client's queries per second.
+    /// Estimate of a client's queries per second: an upper bound if the client is tracked, and a deliberately
+    /// high guess otherwise.
     fn client_rate(&self, client: Client, now: f64) -> f64 {
         if let Some(rate) = self.rates.estimate(client.host, client.class, now) {
             return rate;
@@ -143,14 +147,14 @@
     /// server.
     fn remaining_budget(&mut self, server: &Address, client: Client, rate: f64, now: f64) -> Option<f64> {
         let budget = *self.budgets.get(server)?;
-        if now < self.unknown_until {
+        if now < self.previous_answers_expire_at {
             return Some(f64::NEG_INFINITY);
         }
         let own = self.ledger.leased_to(client.host, client.class, server, now);
         Some(budget - (self.ledger.outstanding(server, now) - own).max(0.0) - rate)
     }
 
-    /// Whether a client with this rate may be given the server.
+    /// Whether the server is warm, or its remaining budget covers a client with this rate.
     fn fits_budget(&mut self, server: &Address, client: Client, rate: f64, now: f64) -> bool {
         self.remaining_budget(server, client, rate, now).is_none_or(|remaining| remaining >= 0.0)
     }
@@ -224,7 +228,7 @@
                 !seen && self.fits_budget(&line.server, client, rate, now)
             };
             let mut replacement = None;
-            for _ in 0..SAMPLE_TRIES {
+            for _ in 0..MAX_SAMPLES {
                 let line = index.at_fraction(random()).copied();
                 replacement = line.filter(|line| is_candidate(line, selected));
                 if replacement.is_some() {
--- a/leases/src/hosts.rs
+++ b/leases/src/heavy_hitters.rs
@@ -7,39 +7,53 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
 
-/// Time constant of the decay in seconds: a few report periods, as a single client's queries are rare.
+/// Time constant of the exponential decay, in seconds: a few report periods, as a single client's queries
+/// are rare.
 const DECAY: f64 = 10.0;
-/// Time constants after which the counts are rescaled; stored counts grow by a factor of e in each until
-/// then.
+/// Stored counts are rescaled when more than this number of time constants ([`DECAY`]) has passed since the
+/// reference time. The weight of new queries grows by a factor of e per time constant until then.
 const RESCALE_AFTER: f64 = 50.0;
 
-/// Keys ordered by count. Counts are never negative, so that their bits order as they do.
+/// Keys in ascending order of count. A count is stored as its `f64` bits, which are totally ordered; the bits
+/// of non-negative numbers have the same order as the numbers.
 type Order = BTreeSet<(u64, Key)>;
-/// Client address and class.
+/// Client address and class of its queries.
 type Key = (Ipv4Addr, u16);
 
 /// A sketch of the query rates of clients.
 #[derive(Clone, Debug)]
 pub struct HeavyHitters {
     max_counters: usize,
-    /// Counts scaled to the time `since`: later queries weigh more, so that stored counts need not decay.
+    /// Decaying counts, stored as their value at `reference_time`: a query at time t adds
+    /// exp((t - reference_time) / DECAY), and the count at time t is the stored one divided by that factor.
+    /// Stored counts thus need no update as time passes.
     counts: HashMap<Key, f64>,
     order: Order,
-    /// Sum of all counts.
+    /// Sum of all stored counts.
     sum: f64,
-    since: f64,
-    now: f64,
+    /// Time in seconds that the stored counts are scaled to.
+    reference_time: f64,
+    /// Time of the latest addition, in seconds. Earlier times passed by callers are raised to it.
+    latest_time: f64,
 }
 
 impl HeavyHitters {
     /// Creates a sketch with at most `max_counters` counters.
     pub fn new(max_counters: usize) -> Self {
         let (counts, order) = Default::default();
-        HeavyHitters { max_counters: max_counters.max(1), counts, order, sum: 0.0, since: 0.0, now: 0.0 }
+        HeavyHitters {
+            max_counters: max_counters.max(1),
+            counts,
+            order,
+            sum: 0.0,
+            reference_time: 0.0,
+            latest_time: 0.0,
+        }
     }
 
+    /// Factor of stored counts over counts at the time `now`.
     fn scale(&self, now: f64) -> f64 {
-        ((now - self.since) / DECAY).exp()
+        ((now - self.reference_time) / DECAY).exp()
     }
 
     /// Adds `queries` of a class from a client, counted by `now`.
@@ -47,11 +61,11 @@
         if !(queries > 0.0 && queries.is_finite()) {
             return;
         }
-        self.now = now.max(self.now);
-        if self.now - self.since > RESCALE_AFTER * DECAY {
+        self.latest_time = now.max(self.latest_time);
+        if self.latest_time - self.reference_time > RESCALE_AFTER * DECAY {
             self.rescale();
         }
-        let (key, increment) = ((host, class), queries * self.scale(self.now));
+        let (key, increment) = ((host, class), queries * self.scale(self.latest_time));
         let old = match self.counts.get(&key) {
             Some(count) => {
                 self.order.remove(&(count.to_bits(), key));
@@ -70,9 +84,10 @@
         self.order.insert(((old + increment).to_bits(), key));
     }
 
+    /// Moves the reference time to the latest time, before stored counts overflow.
     fn rescale(&mut self) {
-        let scale = self.scale(self.now);
-        self.since = self.now;
+        let scale = self.scale(self.latest_time);
+        self.reference_time = self.latest_time;
         // Drops keys whose counts have decayed to nothing.
         self.counts.retain(|_, count| {
             *count /= scale;
@@ -82,8 +97,9 @@
         self.order = self.counts.iter().map(|(key, count)| (count.to_bits(), *key)).collect();
     }
 
+    /// Converts a stored count to queries per second at the time `now`.
     fn rate(&self, count: f64, now: f64) -> f64 {
-        count / self.scale(now.max(self.now)) / DECAY
+        count / self.scale(now.max(self.latest_time)) / DECAY
     }
 
     /// Upper bound on the queries per second of a client that has a counter; `None` if it has none.
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -6,11 +6,11 @@
 //! `docs/notes/0007-dns-clients.md` weighs the options.
 
 mod choice;
+mod heavy_hitters;
 mod holds;
-mod hosts;
 mod ledger;
 
 pub use choice::{AddressSelector, Answer, Client, Counters, Lifetimes};
+pub use heavy_hitters::HeavyHitters;
 pub use holds::ExpiryWheel;
-pub use hosts::HeavyHitters;
 pub use ledger::Ledger;
