--- a/benches/src/streams.rs
+++ b/benches/src/streams.rs
@@ -20,8 +20,26 @@
 
 const CLASSES: [&str; 3] = ["search", "price", "reserve"];
 const ENDPOINTS: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+/// Number of servers per table.
 const LINES: u16 = 40;
+/// Number of servers whose weight a measured change sets.
+const CHANGED_LINES: u16 = 10;
+/// Number of measured changes per run.
 const CHANGES: usize = 60;
+/// Number of tables; the proxies are distributed among them.
+const TABLES: u16 = 3;
+/// Number of zones.
+const ZONES: u8 = 3;
+/// How long an answer may be in use, in seconds.
+const ANSWER_LIFETIME: f64 = 1.5;
+/// Number of changes that the tables' history keeps.
+const MAX_HISTORY: usize = 10;
+/// Maximum size of a message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Maximum number of connections, and length of the listening socket's queue, as all proxies connect at once.
+const MAX_CONNECTIONS: u16 = 4096;
+/// Interval of checks for the last ACK: the resolution of the measured times.
+const POLL_INTERVAL: Duration = Duration::from_micros(200);
 
 /// The pilot's tables and the acknowledgements of the latest change.
 struct State {
@@ -49,7 +67,7 @@
     fn stream_opened(&self, asker: u16) {
         let mut tables = self.0.tables.borrow_mut();
         tables.begin_round(0.0, 1, RoundInputs::default());
-        tables.bind(asker, asker % 3);
+        tables.bind(asker, asker % TABLES);
         tables.end_round();
     }
     fn stream_closed(&self, asker: u16) {
@@ -62,7 +80,7 @@
         self.0.tables.borrow().version()
     }
     fn zone_of(&self, server: &Address) -> Option<String> {
-        Some(format!("zone-{}", server.host[3] % 3))
+        Some(format!("zone-{}", server.host[3] % ZONES))
     }
     fn acknowledged(&self, asker: u16, version: u64) {
         self.0.tables.borrow_mut().deliveries.acknowledge(asker, version);
@@ -111,7 +129,7 @@
     sender.try_send(first).ok()?;
     let path = if delta { methods::DELTA_AGGREGATED_RESOURCES } else { methods::STREAM_AGGREGATED_RESOURCES };
     let (response, _connection) = call(socket, (host, path), receiver, &executor).await.ok()?;
-    let mut reader = Reader::new(response.into_body(), 1 << 20);
+    let mut reader = Reader::new(response.into_body(), MAX_MESSAGE_BYTES);
     loop {
         let ack = if delta {
             let response = reader.next::<discovery::DeltaDiscoveryResponse>().await.ok()??;
@@ -142,9 +160,10 @@
 }
 
 async fn run(proxies: u16, delta: bool, executor: Rc<LocalExecutor<'static>>) -> Results {
-    let pull = DeliveryTracker::new(&vec![AskerKind::Stream; usize::from(proxies)], CLASSES.len(), 1.5, 0.0);
+    let kinds = vec![AskerKind::Stream; usize::from(proxies)];
+    let deliveries = DeliveryTracker::new(&kinds, CLASSES.len(), ANSWER_LIFETIME, 0.0);
     let state = Rc::new(State {
-        tables: RefCell::new(Tables::new(usize::from(proxies), CLASSES.len(), pull, 10)),
+        tables: RefCell::new(Tables::new(usize::from(proxies), CLASSES.len(), deliveries, MAX_HISTORY)),
         start: Instant::now(),
         version: Cell::new(u64::MAX),
         acknowledged: Cell::new(0),
@@ -152,9 +171,10 @@
     let change_tables = |weight: f64| {
         let mut tables = state.tables.borrow_mut();
         tables.begin_round(0.0, 1, RoundInputs::default());
-        for table in 0..3 {
-            let moved = if weight > 1.0 { 10 } else { LINES };
-            (0..moved).for_each(|n| tables.set_weight(table, server(n), weight + f64::from(n)));
+        for table in 0..TABLES {
+            // The first change adds all servers.
+            let changed = if weight > 1.0 { CHANGED_LINES } else { LINES };
+            (0..changed).for_each(|n| tables.set_weight(table, server(n), weight + f64::from(n)));
         }
         tables.end_round();
         state.acknowledged.set(0);
@@ -164,15 +184,17 @@
     let classes = CLASSES.iter().map(|name| Class { name: name.to_string(), at_most_once: false }).collect();
     let limits = Limits {
         response_timeout: 30.0,
-        max_message_bytes: 1 << 20,
-        max_connections: 4096,
+        max_message_bytes: MAX_MESSAGE_BYTES,
+        max_connections: usize::from(MAX_CONNECTIONS),
         report_period: 1.0,
     };
     let changed = Rc::new(Event::new());
     let shared = Server::new(Pilot(state.clone()), classes, limits, changed.clone(), 1, None);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    rustix::net::listen(&listener, 4096).expect("a longer queue");
-    let host = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can't bind a loopback socket");
+    rustix::net::listen(&listener, i32::from(MAX_CONNECTIONS)).expect("can't extend the listen queue");
+    let host = listener.local_addr().expect("the listener has no address");
+    // Spawned before memory is measured, so that what the executor allocates on its first spawn isn't attributed to
+    // the streams.
     let mut tasks = vec![executor.spawn(async {})];
     let memory_before = memory();
     let serving = serve(listener, shared.clone(), executor.clone());
@@ -185,7 +207,7 @@
     }
     let all_acknowledged = |state: Rc<State>| async move {
         while state.acknowledged.get() < usize::from(proxies) {
-            Timer::after(Duration::from_micros(200)).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     };
     all_acknowledged(state.clone()).await;
--- a/guard/src/guard.rs
+++ b/guard/src/guard.rs
@@ -67,7 +67,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "table {}: {}", self.table, self.outcome.name())?;
         if let Outcome::Nearest { moved, fits } = self.outcome {
-            write!(f, " (moves {moved:.3} of the queries, room for {fits:.3})")?;
+            write!(f, " (share of queries moved: {moved:.3}, share that servers have room for: {fits:.3})")?;
         }
         for finding in &self.findings {
             write!(f, "; {}: {finding}", finding.check.name())?;
@@ -89,14 +89,18 @@
 /// A table in use.
 #[derive(Clone, Debug, Default)]
 struct Table {
-    /// The version published last, as shares, and its zones.
+    /// The version published last, as shares.
     shares: Weights,
+    /// The zones of its servers.
     zones: BTreeSet<u16>,
-    /// The version of one to two `window`s ago, and the one that replaces it when the next window begins.
-    earlier: Weights,
-    next: Weights,
+    /// The version in place when the previous window began, one to two `window`s ago if the table is published
+    /// regularly. New versions are also compared with this one, so that a series of small changes counts in sum.
+    previous_window_shares: Weights,
+    /// The version in place when the current window began. Becomes `previous_window_shares` when the next one begins.
+    window_shares: Weights,
+    /// When the current window began, s, on the pilot's clock.
     window_started_at: f64,
-    /// Set while not all queries are admitted.
+    /// The limit on admitted queries; `None` while all are admitted.
     admission: Option<AdmissionLimit>,
 }
 
@@ -199,7 +203,7 @@
             pins: &self.pins,
             table,
             before: &current.shares,
-            earlier: &current.earlier,
+            earlier: &current.previous_window_shares,
             typical_rate: state.typical_rate(),
             other_zones: &other_zones,
         };
@@ -209,7 +213,7 @@
         let fits = if let Outcome::Nearest { fits, .. } = outcome { fits } else { 1.0 };
         let admission = &mut self.tables.entry(table).or_default().admission;
         let mut limit = admission.unwrap_or(AdmissionLimit::unlimited(state.now));
-        // Old failures refuse no queries: reports may have stopped since.
+        // An outdated failure rate doesn't limit admission: if reports have stopped, it may no longer apply.
         let is_recent = state.now - state.measured_at <= self.config.answers_within;
         limit.update(fits, if is_recent { state.failure_rate } else { 0.0 }, state.now);
         *admission = Some(limit).filter(|limit| limit.share < 1.0);
@@ -231,7 +235,7 @@
         if self.mode == Mode::Report {
             return (Outcome::Reported, None);
         }
-        // If only some weights are invalid, the rest of the table has passed all checks.
+        // If the only findings are invalid weights, the table without them has passed all other checks.
         if findings.iter().all(|finding| finding.check == Check::NotFinite) {
             return (Outcome::Nearest { moved: 0.0, fits: 1.0 }, Some(shares.clone()));
         }
@@ -239,7 +243,7 @@
             return (Outcome::Kept, Some(context.before.clone()));
         }
         let nearest = nearest(context, shares);
-        // A table whose only finding is that it is fragile is published if the nearest one is fragile too.
+        // If being fragile is the only finding, and the nearest table is fragile too, replacing it gains nothing.
         let only_fragile = findings.iter().all(|finding| finding.check == Check::Fragile);
         if nearest.shares.is_empty() || only_fragile && context.fragile(&nearest.shares).is_some() {
             return (Outcome::NothingBetter, None);
@@ -257,10 +261,11 @@
         self.loads.publish(table, shares, state.now, self.max_table_lifetime);
         let current = self.tables.entry(table).or_default();
         if state.now - current.window_started_at >= self.config.window {
-            current.earlier = std::mem::replace(&mut current.next, current.shares.clone());
+            current.previous_window_shares =
+                std::mem::replace(&mut current.window_shares, current.shares.clone());
             current.window_started_at = state.now;
         }
-        for version in [&mut current.earlier, &mut current.next] {
+        for version in [&mut current.previous_window_shares, &mut current.window_shares] {
             if version.is_empty() {
                 version.clone_from(&current.shares);
             }
@@ -293,10 +298,12 @@
         self.verdicts.iter().rev()
     }
 
-    /// Checks a class's retry mode. A class that must not run twice (`once`) may only be retried where it is certain
-    /// that it did not run; any other mode is replaced by no retries.
-    pub fn retry_mode(&mut self, table: u16, class: u16, once: bool, mode: u8, now: f64) -> u8 {
-        if !once || mode <= RETRY_UNPROCESSED || self.is_overridden(Check::Twice, now) {
+    /// Checks a class's retry mode. If queries of the class must run at most once, they may only be retried where it
+    /// is certain that no server has processed them; any mode that retries more is replaced by no retries.
+    pub fn retry_mode(&mut self, table: u16, class: u16, at_most_once: bool, mode: u8, now: f64) -> u8 {
+        // Modes are in ascending order of the failures that they retry: none, queries that were certainly not
+        // processed, all.
+        if !at_most_once || mode <= RETRY_UNPROCESSED || self.is_overridden(Check::Twice, now) {
             return mode;
         }
         let finding = Finding {
@@ -307,6 +314,8 @@
             data_age: 0.0,
         };
         let enforced = self.mode == Mode::Enforce;
+        // As with a table, the proposal is replaced by the nearest safe one. The table itself doesn't change: no
+        // queries move, and there is room for all of them.
         let outcome = if enforced { Outcome::Nearest { moved: 0.0, fits: 1.0 } } else { Outcome::Reported };
         self.record(&Verdict { table, at: now, findings: vec![finding], outcome });
         if enforced {
--- a/guard/src/state.rs
+++ b/guard/src/state.rs
@@ -41,17 +41,18 @@
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Figures")]
 pub struct GuardConfig {
-    /// s; a server counts as serving if an answer or a successful health check is no older than this.
+    /// A server counts as serving if an answer or a successful health check is no older than this, in seconds.
     #[schemars(range(min = 0.1, max = 3600.0))]
     pub answers_within: f64,
-    /// Maximum share of a zone's queries in a table that may be taken from serving servers by dropping them, at once
-    /// or within `window`.
+    /// Maximum share of a zone's queries in a table that may be affected by removing serving servers from the table,
+    /// in one change or in several within `window`.
     #[schemars(range(min = 0.01, max = 1.0))]
     pub cut_part: f64,
-    /// Maximum share of a table's queries that may move away from serving servers at once.
+    /// Maximum share of a table's queries that a single change may move away from serving servers.
     #[schemars(range(min = 0.01, max = 1.0))]
     pub moved_part: f64,
-    /// s; changes within this time count in sum.
+    /// Time in seconds over which removals of servers and zones from a table are added up, so that a series of small
+    /// changes is limited like a single large one.
     #[schemars(range(min = 1.0, max = 3600.0))]
     pub window: f64,
     /// Maximum load of a warm server as a multiple of the rate that it is proven to answer.
@@ -93,9 +94,10 @@
     pub failure_rate: f64,
     /// Fraction of its capacity that a server has when it starts.
     pub cold_share: f64,
-    /// s; a server is warm this long after its start.
+    /// Time in seconds from a server's start until it is warm, i.e. has its full capacity.
     pub warm_within: f64,
-    /// A cold server fails under more than this multiple of its present capacity.
+    /// Load at which a cold server is assumed to fail, as a multiple of its current capacity, which is the
+    /// [`State::warm_fraction`] of its full one.
     pub fall_multiple: f64,
     /// Servers listed as gone must be drained within the grace period, like draining ones.
     pub drain_gone: bool,
@@ -131,8 +133,9 @@
     }
 
     /// Whether a recent answer or health check shows that a server serves, and no later evidence contradicts it: a
-    /// failed check, a report with only failed tries, or the list reporting it as gone. Evidence from before the list's
-    /// report is void; otherwise every server that dies would look like an error of the list.
+    /// failed check, a report with only failed tries, or the list reporting it as gone. An answer or check from before
+    /// the list reported the server as gone doesn't count: otherwise the list would seem wrong about every server that
+    /// stops, as it answered until shortly before.
     pub fn is_serving(&self, server: &Server, config: &GuardConfig) -> bool {
         let check_passed = server.last_check.filter(|(_, healthy)| *healthy).map(|(at, _)| at);
         let check_failed = server.last_check.filter(|(_, healthy)| !*healthy).map(|(at, _)| at);
@@ -170,7 +173,7 @@
         Some((self.fall_multiple * self.warm_fraction(server) * rate).min(warm))
     }
 
-    /// Factor by which demand may have grown since it was measured.
+    /// Factor by which demand is assumed to have grown since it was measured.
     pub fn demand_growth(&self, config: &GuardConfig) -> f64 {
         1.0 + config.growth * (self.now - self.measured_at).max(0.0)
     }
--- a/guard/tests/exhaustive.rs
+++ b/guard/tests/exhaustive.rs
@@ -13,17 +13,24 @@
     Address { host: [10, 0, 0, n as u8], port: 7000 }
 }
 
-/// The cold and the draining servers of a pool, and the demand of two tables.
+/// Servers, numbered from 0, and the demand on them. All answer, and even numbers are in one zone and odd ones in
+/// another. Numbers beyond the size of the pool are ignored.
 struct Pool {
+    /// Servers that started 50 s ago.
     cold: &'static [usize],
     draining: &'static [usize],
+    /// Queries per second of the users of table 0, which is proposed, and of table 1, which doesn't change.
     demand: [f64; 2],
 }
 
 const POOLS: [Pool; 4] = [
+    // Only warm servers.
     Pool { cold: &[], draining: &[], demand: [30.0, 20.0] },
+    // A cold server, under a demand that one warm server can take.
     Pool { cold: &[1], draining: &[], demand: [12.0, 8.0] },
+    // Cold servers and a draining one: only cold ones are available in pools of two and three.
     Pool { cold: &[0, 2], draining: &[1], demand: [10.0, 6.0] },
+    // A cold server, under a demand of 80, more than the capacity of 66.5 of a pool of four.
     Pool { cold: &[0], draining: &[], demand: [40.0, 40.0] },
 ];
 
@@ -52,8 +59,9 @@
         }
     }
 
-    /// Capacity of a server. A cold one has warmed up from 0.1 by a quarter of the way to 1, and may have twice its
-    /// share of the proven rate of 10.
+    /// Maximum queries per second of a server. A cold one started 50 s ago with 0.1 (`cold_share`) of its full
+    /// capacity, and reaches it 200 s (`warm_within`) after its start: it now has 0.1 + 0.9 * 50 / 200 = 0.325 of it.
+    /// Its limit is `fall_multiple`, 2, times that fraction of the proven rate of 10.
     fn limit(&self, n: usize) -> f64 {
         if self.cold.contains(&n) {
             2.0 * 0.325 * 10.0
@@ -66,7 +74,8 @@
         !self.draining.contains(&n)
     }
 
-    /// The checks that `new` fails in place of `old` while the other table is `other`; all as shares.
+    /// The checks that fail if table 0 changes from `old` to `new` while table 1 is `other`. A table is a list of each
+    /// server's share of the queries.
     fn failed_checks(&self, old: &[f64], new: &[f64], other: &[f64]) -> BTreeSet<Check> {
         let all = 0..new.len();
         let is_cold = |n: &usize| self.cold.contains(n);
@@ -123,7 +132,8 @@
     }
 }
 
-/// Table number `number`, whose base-3 digits select the weights; as weights and as shares.
+/// Returns table number `number`, first as the weights passed to the guard, then as each server's share of the queries
+/// (all 0 if no weight is positive). The base-3 digits of the number, lowest first, select the weights of the servers.
 fn table(mut number: usize, servers: usize) -> (Weights, Vec<f64>) {
     let mut weights = Vec::new();
     for _ in 0..servers {
@@ -142,15 +152,16 @@
     for (servers, step) in [(2, 1), (3, 1), (4, 1), (5, 20)] {
         let tables: Vec<_> =
             (0..3_usize.pow(servers)).map(|number| table(number, servers as usize)).collect();
-        let even = (3_usize.pow(servers) - 1) / 2;
+        // All base-3 digits are 1: the table with weight 1 for every server, which is in place before each proposal.
+        let equal_weights = (3_usize.pow(servers) - 1) / 2;
         for pool in &POOLS {
             let state = pool.state(servers as usize);
             for other in (0..tables.len()).step_by(step) {
                 let mut guard = Guard::new(GuardConfig::default(), Mode::Enforce, 5.0);
                 let earlier = State { now: 950.0, demand: [].into(), ..state.clone() };
-                guard.set_current(&earlier, 0, &tables[even].0);
+                guard.set_current(&earlier, 0, &tables[equal_weights].0);
                 guard.set_current(&earlier, 1, &tables[other].0);
-                let (old, other_shares) = (&tables[even].1, &tables[other].1);
+                let (old, other_shares) = (&tables[equal_weights].1, &tables[other].1);
                 for (proposed, new) in &tables {
                     let (verdict, replacement) = guard.clone().evaluate(&state, 0, proposed);
                     let found: BTreeSet<Check> = verdict.findings.iter().map(|f| f.check).collect();
--- a/standins/src/world.rs
+++ b/standins/src/world.rs
@@ -14,21 +14,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Active faults of everything but servers, relays and the pilot.
+/// Active faults of service discovery, DNS, metrics and demand. Faults of servers, relays and the pilot are applied to
+/// these directly.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Metrics and load reports are not delivered.
     pub scrapes_hang: bool,
     /// Share of DNS queries that are lost.
     pub dns_lost: f64,
-    /// Delay of DNS queries in seconds.
+    /// Delay of DNS queries, in seconds.
     pub dns_late: f64,
+    /// Service discovery responds with status 500.
     pub discovery_down: bool,
+    /// The list of service discovery is truncated in the middle.
     pub list_cut: bool,
+    /// The list of service discovery is empty.
     pub list_empty: bool,
-    /// Running servers that are missing from the list.
+    /// Running servers that are missing from the list of service discovery.
     pub unlisted: Vec<Ipv4Addr>,
-    /// Multiple of the usual rate of queries; 0 for none.
+    /// Factor on the usual rate of queries while a surge is active; 0 if none is.
     pub surge: f64,
 }
 
@@ -43,12 +47,13 @@
     pub faults: RefCell<Faults>,
     pub servers: RefCell<Vec<Rc<Server>>>,
     pub askers: RefCell<Vec<Rc<Asker>>>,
-    /// Replaces the pilot's answers.
+    /// The policy that askers select servers by instead of querying the pilot, for comparison; `None` to query the
+    /// pilot.
     pub baseline: Option<Baseline>,
-    /// Number of queries so far.
+    /// Number of queries since the start.
     pub queries: Cell<u64>,
     rng: RefCell<fastrand::Rng>,
-    /// Recent states of the servers by time, from which service discovery takes a delayed one.
+    /// Recent states of the servers with their times, oldest first. Service discovery serves them with a delay.
     history: RefCell<VecDeque<(f64, Vec<ListedServer>)>>,
 }
 
@@ -83,8 +88,9 @@
         self.rng.borrow_mut().f64()
     }
 
-    /// Returns the current list of service discovery: the servers' delayed states, changed by active faults.
-    pub fn listed_servers(&self) -> Vec<ListedServer> {
+    /// Appends the servers' current states to the history, drops entries that are no longer needed, and returns the
+    /// list that service discovery serves: the delayed states, changed by active faults.
+    pub fn update_listed_servers(&self) -> Vec<ListedServer> {
         let now = self.now();
         let servers = self.servers.borrow();
         let running = servers.iter().filter(|server| server.running.get()).map(|server| {
@@ -103,11 +109,12 @@
         listed.collect()
     }
 
-    /// Returns the lines that the baseline policy chooses from the list; `None` without such a policy.
+    /// Returns the lines that the baseline policy selects from the list, each a server's address and its weight as in a
+    /// DNS answer (always 1, as the policies weigh servers equally); `None` without such a policy.
     pub fn baseline_lines(&self) -> Option<Vec<(Ipv4Addr, u16)>> {
         let baseline = self.baseline?;
         let price = |zone: u8| self.script.costs.as_ref().map_or(0.0, |costs| costs.zones[usize::from(zone)]);
-        let listed = self.listed_servers();
+        let listed = self.update_listed_servers();
         let lowest = listed.iter().map(|(_, zone, ..)| price(*zone)).fold(f64::INFINITY, f64::min);
         let chosen =
             listed.into_iter().filter(|(_, zone, ..)| baseline == Baseline::Even || price(*zone) <= lowest);
@@ -121,7 +128,7 @@
         // The history is extended at regular intervals, also when nobody requests the list.
         let update_history = async {
             loop {
-                world.listed_servers();
+                world.update_listed_servers();
                 Timer::after(Duration::from_millis(100)).await;
             }
         };
@@ -129,7 +136,7 @@
         let serve = web::serve(host, self.executor.clone(), move |_, _| {
             let world = world.clone();
             async move {
-                let listed = world.listed_servers();
+                let listed = world.update_listed_servers();
                 let faults = world.faults.borrow().clone();
                 if faults.discovery_down {
                     return (500, String::new());
