--- a/leases/src/choice.rs
+++ b/leases/src/choice.rs
@@ -31,7 +31,7 @@
     pub normal: u32,
     /// For tables that contain a cold server.
     pub near_cold: u32,
-    /// Time after the end of an answer's lifetime during which clients are assumed to go on using it.
+    /// Time in seconds for which clients are assumed to go on using an expired answer.
     pub overstay: f64,
 }
 
